--- a/cli/src/platform_daemons.rs
+++ b/cli/src/platform_daemons.rs
@@ -165,7 +165,7 @@
     started(common, life);
     let options = EntryOptions {
         name: common.name.as_str().into(),
-        life,
+        incarnation: life,
         hall: common.hall.as_str().into(),
         address: common.link_address,
         seeds: common.seeds.clone(),
@@ -229,7 +229,7 @@
     started(common, life);
     let options = AgentOptions {
         name: common.name.as_str().into(),
-        life,
+        incarnation: life,
         hall: common.hall.as_str().into(),
         timings: common.timings,
         token: time_of_day_ms(),
--- a/cli/tests/test_platform.rs
+++ b/cli/tests/test_platform.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn test_serve_agent_killed_its_next_life_adopts() {
+fn test_serve_agent_killed_its_next_incarnation_adopts() {
     with_fleet("adopt", 62, 1, 1, async |fleet| {
         let client = client(fleet, 0).await;
         let answer = ntex::rt::spawn({
--- a/lib/src/agent_node.rs
+++ b/lib/src/agent_node.rs
@@ -17,8 +17,8 @@
 use crate::run_agent::RunAgent;
 use crate::run_event::{AgentAction, AgentEvent, AgentOptions, StartCall};
 use crate::run_message::Packet;
+use crate::target_incarnation::TargetName;
 use crate::target_lease::Renewal;
-use crate::target_life::TargetName;
 use crate::wake_timer::WakeTimer;
 
 /// See the module.
@@ -92,11 +92,21 @@
             AgentAction::Dial(address) => self.dial(address),
             AgentAction::HangUp(address) => self.links.hang_up(address),
             AgentAction::Start(call) => self.start_run(call),
-            AgentAction::Stop { key, token, life } => {
+            AgentAction::Stop {
+                key,
+                token,
+                target_name: life,
+            } => {
                 ntex::rt::spawn(self.target.stop(key, token, life));
             }
-            AgentAction::Renew { renewal, life } => self.renew(renewal, life),
-            AgentAction::AskLife { look, life } => self.ask_life(look, life),
+            AgentAction::Renew {
+                renewal,
+                target_name: life,
+            } => self.renew(renewal, life),
+            AgentAction::CheckIncarnation {
+                look,
+                target_name: life,
+            } => self.ask_life(look, life),
             AgentAction::AskEvacuations => self.ask_evacuations(),
             AgentAction::AskEntries => self.ask_entries(),
             AgentAction::Log(event) => self.log(event),
@@ -150,7 +160,7 @@
         let answer = self.target.renew(look, Some(life));
         ntex::rt::spawn(async move {
             let answer = answer.await.into();
-            me.tell(AgentEvent::LifeAnswered { number, answer });
+            me.tell(AgentEvent::IncarnationChecked { number, answer });
         });
     }
 
--- a/lib/src/batch_entry.rs
+++ b/lib/src/batch_entry.rs
@@ -85,7 +85,7 @@
         let options = Arc::new(options);
         Self {
             now: Now::ZERO,
-            rng: ChaCha8Rng::seed_from_u64(options.seed ^ options.life),
+            rng: ChaCha8Rng::seed_from_u64(options.seed ^ options.incarnation),
             out: Vec::new(),
             directory: EntryDirectory::new(options.clone(), options.timings.lost_proof),
             table: BatchTable::default(),
--- a/lib/src/batch_entry/agents.rs
+++ b/lib/src/batch_entry/agents.rs
@@ -116,7 +116,7 @@
         self.board.heard(self.now, link, word);
         let welcome = Welcome {
             name: self.options.name.clone(),
-            life: self.options.life,
+            life: self.options.incarnation,
             entries: self.directory.entries(),
             claims,
             evacuations: self.directory.evacuations().clone(),
--- a/lib/src/batch_event.rs
+++ b/lib/src/batch_event.rs
@@ -23,7 +23,7 @@
     /// Name of the VM's process.
     pub name: NodeName,
     /// This life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Data hall.
     pub hall: HallName,
     /// Address of its links.
--- a/lib/src/entry_directory.rs
+++ b/lib/src/entry_directory.rs
@@ -161,7 +161,7 @@
     fn intro(&self) -> PeerIntro {
         PeerIntro {
             name: self.options.name.clone(),
-            life: self.options.life,
+            life: self.options.incarnation,
             address: self.options.address,
             config: self.config.version(),
             evacuations: self.evacuations.state().place,
@@ -306,7 +306,7 @@
     }
 
     fn note_closing(&mut self, now: Now, link: SessionId, closing: ClosingBatch) {
-        let is_own = closing.entry == self.options.life;
+        let is_own = closing.entry == self.options.incarnation;
         if !is_own && self.elsewhere.note(now, closing, self.closing_bound) {
             let news = PeerNews::Closing(closing);
             self.peers.pass_on(now, link, &news);
@@ -314,7 +314,7 @@
     }
 
     fn note_closed(&mut self, now: Now, link: SessionId, closing: ClosingBatch) -> bool {
-        let is_own = closing.entry == self.options.life;
+        let is_own = closing.entry == self.options.incarnation;
         let is_news = !is_own && self.elsewhere.over(now, closing, self.closing_bound);
         if is_news {
             self.peers.tell_closed(now, closing, Some(link));
@@ -409,7 +409,7 @@
     }
 
     fn closing(&self, batch: BatchId) -> ClosingBatch {
-        let entry = self.options.life;
+        let entry = self.options.incarnation;
         ClosingBatch { batch, entry }
     }
 
--- a/lib/src/platform_ports.rs
+++ b/lib/src/platform_ports.rs
@@ -11,8 +11,8 @@
 use crate::run::RunKey;
 use crate::run_book::FencingToken;
 use crate::run_event::{RenewalAnswer, StartAnswer, StartCall};
+use crate::target_incarnation::TargetName;
 use crate::target_lease::Renewal;
-use crate::target_life::TargetName;
 
 /// Why the platform gave nothing usable.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
--- a/lib/src/run_agent.rs
+++ b/lib/src/run_agent.rs
@@ -6,8 +6,8 @@
 //! more. docs/design/platform.md works out the chain of times.
 
 mod evacuation;
+mod incarnations;
 mod lists;
-mod lives;
 mod starts;
 
 use std::net::SocketAddr;
@@ -31,8 +31,8 @@
     AgentIntro, AgentMillis, AgentNews, AgentPacket, EntryPacket, Order, Welcome,
 };
 use crate::target_health::TargetHealth;
+use crate::target_incarnations::TargetIncarnations;
 use crate::target_lease::TargetLease;
-use crate::target_lives::TargetLives;
 use starts::{LEAST_START_LIMIT, START_LIMIT};
 
 /// A process that was not heard from for so long may have stood still, with answers unread in its
@@ -47,7 +47,7 @@
     now: Now,
     out: Vec<AgentAction>,
     entries: EntryLeases,
-    lives: TargetLives,
+    lives: TargetIncarnations,
     lease: TargetLease,
     book: RunBook,
     health: TargetHealth,
@@ -82,7 +82,7 @@
             now,
             out: Vec::new(),
             entries: EntryLeases::new(options.timings),
-            lives: TargetLives::default(),
+            lives: TargetIncarnations::default(),
             lease,
             book: RunBook::default(),
             health: TargetHealth::default(),
@@ -194,7 +194,7 @@
                 self.start_answered(key, token, answer);
             }
             AgentEvent::RenewalAnswered { number, answer } => self.renewal_answered(number, answer),
-            AgentEvent::LifeAnswered { number, answer } => self.life_answered(number, answer),
+            AgentEvent::IncarnationChecked { number, answer } => self.life_answered(number, answer),
             AgentEvent::Entries(entries) => self.homes.learn(self.now, entries),
             AgentEvent::Evacuations(answer) => self.evacuations_answered(answer),
             AgentEvent::Resumed(suspended) => self.resumed(suspended),
@@ -229,7 +229,7 @@
         self.entries.opened(self.now, link);
         let intro = AgentIntro {
             name: self.options.name.clone(),
-            life: self.options.life,
+            life: self.options.incarnation,
             hall: self.options.hall.clone(),
         };
         let target = AgentNews::Target(self.offered_target());
@@ -515,7 +515,11 @@
             }
             stopping.resend_at = now + self.options.timings.stop_again;
             let life = life.clone();
-            self.out.push(AgentAction::Stop { key, token, life });
+            self.out.push(AgentAction::Stop {
+                key,
+                token,
+                target_name: life,
+            });
         }
     }
 
--- a/lib/src/run_agent/lives.rs
+++ b/lib/src/run_agent/incarnations.rs
@@ -4,11 +4,11 @@
 
 use super::RunAgent;
 use crate::events::EventCode;
-use crate::run_event::{AgentAction, LifeAnswer, TargetReport};
+use crate::run_event::{AgentAction, IncarnationAnswer, TargetReport};
 use crate::run_message::{AgentNews, TargetInfo};
 use crate::target_health::TargetHealth;
-use crate::target_life::{BornMillis, TargetLife, TargetName};
-use crate::target_lives::Reported;
+use crate::target_incarnation::{BornMillis, TargetIncarnation, TargetName};
+use crate::target_incarnations::ReportOutcome;
 
 /// Pause before a life that refused the token is asked with a higher one: a few calls' time. Each
 /// step is ten seconds, so a clock that was an hour ahead is passed in 2 s.
@@ -19,20 +19,20 @@
         let life = report.info.life.clone();
         let (number, leaving) = (report.sequence, report.info.leaving);
         match self.lives.report(self.now, report) {
-            Reported::Known => {}
-            Reported::Late(known) => {
+            ReportOutcome::Known => {}
+            ReportOutcome::Late(known) => {
                 let why = format!("why=\"number {known} was seen\"");
                 self.passed_over(&life, number, leaving, &why);
             }
-            Reported::PastLife => {
+            ReportOutcome::PastIncarnation => {
                 self.passed_over(&life, number, leaving, "why=\"that life is over\"");
             }
-            Reported::Changed => self.target_changed(),
-            Reported::OtherService => {
+            ReportOutcome::Changed => self.target_changed(),
+            ReportOutcome::OtherService => {
                 self.passed_over(&life, number, leaving, "why=\"another service\"");
             }
-            Reported::ToBeAsked => {
-                let known = self.lives.current_life();
+            ReportOutcome::NeedsCheck => {
+                let known = self.lives.current_incarnation();
                 let known = known.map_or("-".to_owned(), ToString::to_string);
                 let detail = format!("life={life} known={known} leaving={leaving}");
                 self.log(EventCode::TargetLifeReported, detail);
@@ -41,7 +41,7 @@
     }
 
     /// A report comes every second or so: a line for each is no flood.
-    fn passed_over(&mut self, life: &TargetLife, number: u64, leaving: bool, why: &str) {
+    fn passed_over(&mut self, life: &TargetIncarnation, number: u64, leaving: bool, why: &str) {
         let detail = format!("life={life} number={number} leaving={leaving} {why}");
         self.log(EventCode::ReportPassedOver, detail);
     }
@@ -50,34 +50,37 @@
     pub(super) fn ask_lives(&mut self) {
         while let Some(life) = self.lives.take_due(self.now, self.lease.next_number()) {
             let look = self.lease.look();
-            self.out.push(AgentAction::AskLife { look, life });
+            self.out.push(AgentAction::CheckIncarnation {
+                look,
+                target_name: life,
+            });
         }
     }
 
-    pub(super) fn life_answered(&mut self, number: u64, answer: LifeAnswer) {
+    pub(super) fn life_answered(&mut self, number: u64, answer: IncarnationAnswer) {
         let Some(life) = &self.lives.asked_by(number) else {
             return;
         };
         match answer {
-            LifeAnswer::Silent => self.lives.unanswered(self.now, life),
-            LifeAnswer::Fenced => {
+            IncarnationAnswer::Silent => self.lives.unanswered(self.now, life),
+            IncarnationAnswer::Fenced => {
                 let refused = self.lease.token();
                 self.lease.step_over(refused);
                 self.lives.ask_at(self.now + FENCED_PAUSE, life);
             }
-            LifeAnswer::OtherLife => self.reported_life_over(life),
-            LifeAnswer::Lives(born) if !life.tells(born) => self.reported_life_over(life),
-            LifeAnswer::Lives(_) => self.life_begins(life),
+            IncarnationAnswer::OtherIncarnation => self.reported_life_over(life),
+            IncarnationAnswer::Alive(born) if !life.tells(born) => self.reported_life_over(life),
+            IncarnationAnswer::Alive(_) => self.life_begins(life),
         }
     }
 
-    fn reported_life_over(&mut self, life: &TargetLife) {
+    fn reported_life_over(&mut self, life: &TargetIncarnation) {
         self.lives.over(life);
         let detail = format!("life={life} runs=0 why=\"another life answers\"");
         self.log(EventCode::TargetLifeOver, detail);
     }
 
-    fn life_begins(&mut self, life: &TargetLife) {
+    fn life_begins(&mut self, life: &TargetIncarnation) {
         // Orders that bore another name can't have been obeyed by this life, and those of its own
         // name can: what they started is told by its lists. At first nothing was ordered.
         let is_other_name = self.lives.last_name().is_some_and(|n| *n != life.name);
@@ -86,7 +89,7 @@
             self.end_all();
         }
         // What was read without a name may have been another life's.
-        self.lease.reset_life();
+        self.lease.reset_incarnation();
         self.knows_lists = false;
         self.lives.answered(self.now, life);
         self.target_changed();
@@ -95,14 +98,17 @@
     /// Notices by its lists that the target started again under its name. Its numbers begin anew:
     /// compared with those of the life before, a leave and every end passed for old news.
     pub(super) fn check_born(&mut self, number: u64, born: Option<BornMillis>) {
-        let is_current = self.lives.current_life().is_none_or(|l| l.tells(born));
-        if is_current && !self.lease.is_other_life(born) {
-            self.lease.note_life(self.now, born);
+        let is_current = self
+            .lives
+            .current_incarnation()
+            .is_none_or(|l| l.tells(born));
+        if is_current && !self.lease.is_other_incarnation(born) {
+            self.lease.note_incarnation(self.now, born);
             return;
         }
         self.life_over("lists of another start");
         self.lease.forget_numbers(number);
-        self.lease.note_life(self.now, born);
+        self.lease.note_incarnation(self.now, born);
         self.tell_target();
     }
 
@@ -143,7 +149,7 @@
     /// the process is gone. So it closes the target and ends no run: that is left to the lists, to
     /// another life's answer or to the end of the lease.
     pub(super) fn target_left(&mut self, name: &TargetName, born: Option<BornMillis>) {
-        let Some(life) = self.lives.current_life() else {
+        let Some(life) = self.lives.current_incarnation() else {
             return;
         };
         if life.name != *name || (born.is_some() && life.born != born) {
@@ -157,9 +163,9 @@
 
     /// Another life answers, under another name: the known one is over, and everything that ran on
     /// it. No order for it can have been obeyed by the other.
-    pub(super) fn end_life(&mut self, why: &str) {
+    pub(super) fn end_incarnation(&mut self, why: &str) {
         if self.life_over(why) {
-            self.lease.reset_life();
+            self.lease.reset_incarnation();
             // The next life's clock is learnt with its lists.
             self.knows_lists = false;
             self.end_all();
@@ -176,7 +182,7 @@
     /// The known life is over. Where the next one bears its name, an order that was meant for the
     /// one before may have been obeyed by it: its lists tell which runs go on, and the rest are lost.
     fn life_over(&mut self, why: &str) -> bool {
-        let Some(life) = self.lives.current_life().cloned() else {
+        let Some(life) = self.lives.current_incarnation().cloned() else {
             return false;
         };
         let runs = self.book.len();
--- a/lib/src/run_agent/lists.rs
+++ b/lib/src/run_agent/lists.rs
@@ -31,7 +31,10 @@
 impl RunAgent {
     pub(super) fn push_renewal(&mut self, renewal: Renewal) {
         let life = self.lives.current_name();
-        self.out.push(AgentAction::Renew { renewal, life });
+        self.out.push(AgentAction::Renew {
+            renewal,
+            target_name: life,
+        });
     }
 
     /// When the renewal on the way counts as unanswered, and its number.
@@ -87,7 +90,7 @@
 
     pub(super) fn renewal_answered(&mut self, number: u64, answer: RenewalAnswer) {
         // Answers on different connections may overtake one another.
-        if self.lease.is_of_past_life(number) {
+        if self.lease.is_of_past_incarnation(number) {
             return;
         }
         match answer {
@@ -105,9 +108,9 @@
                 self.lease.failed(self.now, number);
                 self.lease.step_over(refused);
             }
-            RenewalAnswer::OtherLife => {
+            RenewalAnswer::OtherIncarnation => {
                 self.lease.failed(self.now, number);
-                self.end_life("another life answers");
+                self.end_incarnation("another life answers");
                 self.tell_target();
             }
             RenewalAnswer::Silent => self.lease.unanswered(self.now, number),
--- a/lib/src/run_agent/starts.rs
+++ b/lib/src/run_agent/starts.rs
@@ -10,7 +10,7 @@
 use crate::run_book::{FencingToken, Phase, Run};
 use crate::run_event::{AgentAction, StartAnswer, StartCall};
 use crate::run_message::{AgentNews, StartOrder};
-use crate::target_life::TargetName;
+use crate::target_incarnation::TargetName;
 
 /// How long a start may go unanswered. The target is on this VM and answers within a few
 /// milliseconds; the rest is for a VM that is slowed down.
@@ -176,7 +176,7 @@
             payload: run.payload.clone(),
             until,
             token,
-            life,
+            target_name: life,
             limit: START_LIMIT,
         }));
         Ok(())
@@ -217,9 +217,9 @@
                 self.lease.note_refused();
                 self.not_started(key, NotStarted::Unreachable);
             }
-            StartAnswer::OtherLife => {
+            StartAnswer::OtherIncarnation => {
                 self.not_started(key, NotStarted::Unreachable);
-                self.end_life("another life answers");
+                self.end_incarnation("another life answers");
                 self.tell_target();
             }
             StartAnswer::Silent => self.starts_unanswered(&[(key, token)]),
--- a/lib/src/run_event.rs
+++ b/lib/src/run_event.rs
@@ -1,6 +1,6 @@
 //! What the agent's core on the platform is told and what it wants done.
 //!
-//! [`AgentAction::Start`], [`AgentAction::Renew`], [`AgentAction::AskLife`] and
+//! [`AgentAction::Start`], [`AgentAction::Renew`], [`AgentAction::CheckIncarnation`] and
 //! [`AgentAction::AskEvacuations`] are each answered by one event, within the limit that they name. Actions are carried out in order; each may fail.
 
 use std::net::SocketAddr;
@@ -13,8 +13,8 @@
 use crate::run::{RunEnd, RunKey};
 use crate::run_book::FencingToken;
 use crate::run_message::{AgentPacket, EntryPacket, TargetInfo};
+use crate::target_incarnation::{BornMillis, TargetName};
 use crate::target_lease::{EndNumber, ListedRun, Renewal, TargetMillis};
-use crate::target_life::{BornMillis, TargetName};
 use crate::timings::Timings;
 
 /// What an agent is told at start.
@@ -23,7 +23,7 @@
     /// Name of the VM's process.
     pub name: NodeName,
     /// This life.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Data hall.
     pub hall: HallName,
     /// The chain of times.
@@ -64,7 +64,7 @@
     /// The target is unwell and has done nothing.
     Unhealthy,
     /// Another life of the target answered, which has done nothing.
-    OtherLife,
+    OtherIncarnation,
     /// The connection was refused: nothing was done.
     Refused,
     /// No answer: it may have been done, or may be done later.
@@ -88,7 +88,7 @@
     /// A higher fencing token was seen.
     Fenced,
     /// Another life of the target answered.
-    OtherLife,
+    OtherIncarnation,
     /// The connection was refused: no process is there.
     Refused,
     /// No answer.
@@ -97,23 +97,23 @@
 
 /// What came of a call that names one life of the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LifeAnswer {
+pub enum IncarnationAnswer {
     /// A life of that name answered, which began then if it says so.
-    Lives(Option<BornMillis>),
+    Alive(Option<BornMillis>),
     /// A life of another name answered.
-    OtherLife,
+    OtherIncarnation,
     /// A life of that name answered, and not which: a higher fencing token was seen.
     Fenced,
     /// No answer.
     Silent,
 }
 
-impl From<RenewalAnswer> for LifeAnswer {
+impl From<RenewalAnswer> for IncarnationAnswer {
     fn from(answer: RenewalAnswer) -> Self {
         match answer {
-            RenewalAnswer::Lists { born, .. } => Self::Lives(born),
+            RenewalAnswer::Lists { born, .. } => Self::Alive(born),
             RenewalAnswer::Fenced => Self::Fenced,
-            RenewalAnswer::OtherLife => Self::OtherLife,
+            RenewalAnswer::OtherIncarnation => Self::OtherIncarnation,
             RenewalAnswer::Refused | RenewalAnswer::Silent => Self::Silent,
         }
     }
@@ -150,12 +150,12 @@
         /// The answer.
         answer: RenewalAnswer,
     },
-    /// Answer to [`AgentAction::AskLife`].
-    LifeAnswered {
+    /// Answer to [`AgentAction::CheckIncarnation`].
+    IncarnationChecked {
         /// Number of the look.
         number: u64,
         /// The answer.
-        answer: LifeAnswer,
+        answer: IncarnationAnswer,
     },
     /// More entries, from the settings or the registry.
     Entries(Vec<SocketAddr>),
@@ -179,7 +179,7 @@
     /// Token.
     pub token: FencingToken,
     /// Name of the target's life that is meant.
-    pub life: TargetName,
+    pub target_name: TargetName,
     /// When the answer counts as lost.
     pub limit: Duration,
 }
@@ -204,21 +204,21 @@
         /// Token.
         token: FencingToken,
         /// Name of the target's life that is meant.
-        life: Option<TargetName>,
+        target_name: Option<TargetName>,
     },
     /// Renew the lease and read the lists.
     Renew {
         /// The renewal.
         renewal: Renewal,
         /// Name of the target's life that is meant.
-        life: Option<TargetName>,
+        target_name: Option<TargetName>,
     },
     /// Ask the target whether a life of this name answers, and which.
-    AskLife {
+    CheckIncarnation {
         /// A look at the lists that renews nothing.
         look: Renewal,
         /// The name.
-        life: TargetName,
+        target_name: TargetName,
     },
     /// Ask the store which halls are evacuated.
     AskEvacuations,
--- a/lib/src/run_message.rs
+++ b/lib/src/run_message.rs
@@ -16,7 +16,7 @@
 use crate::resources::Resources;
 use crate::run::{BatchId, NotStarted, RunEnd, RunKey, RunNumber, TaskKey};
 use crate::target_health::HealthWord;
-use crate::target_life::TargetLife;
+use crate::target_incarnation::TargetIncarnation;
 
 /// Milliseconds on the clock of one agent's life, from its start.
 pub type AgentMillis = u64;
@@ -153,7 +153,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetInfo {
     /// The life.
-    pub life: TargetLife,
+    pub life: TargetIncarnation,
     /// The service that it runs.
     pub service: Arc<str>,
     /// All that it has.
--- a/lib/src/target_life.rs
+++ b/lib/src/target_incarnation.rs
@@ -17,14 +17,14 @@
 
 /// One life of a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TargetLife {
+pub struct TargetIncarnation {
     /// Its name.
     pub name: TargetName,
     /// When it began; none where targets do not say so and take a new name for each life.
     pub born: Option<BornMillis>,
 }
 
-impl TargetLife {
+impl TargetIncarnation {
     /// Whether lists that were asked for by this life's name, and whose teller began then, are this
     /// life's. Lists without a start prove nothing against it; a life without one is not a target
     /// that states its own.
@@ -37,7 +37,7 @@
     }
 }
 
-impl fmt::Display for TargetLife {
+impl fmt::Display for TargetIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.born {
             Some(born) => write!(f, "{}@{born}", self.name),
--- a/lib/src/target_lives.rs
+++ b/lib/src/target_incarnations.rs
@@ -13,7 +13,7 @@
 use crate::ids::Now;
 use crate::run_event::TargetReport;
 use crate::run_message::TargetInfo;
-use crate::target_life::{TargetLife, TargetName};
+use crate::target_incarnation::{TargetIncarnation, TargetName};
 
 /// Pause before a life that did not answer is asked again: a target in trouble is asked by its
 /// renewals as well.
@@ -54,48 +54,48 @@
 
 /// What a report comes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reported {
+pub enum ReportOutcome {
     /// Nothing: it says what is known.
     Known,
     /// Nothing: its number is no higher than this one, which the same life has told before.
     Late(u64),
     /// Nothing: the life that it names is over.
-    PastLife,
+    PastIncarnation,
     /// Nothing: it names another service than the life it speaks for. A life keeps its service, so
     /// this is another writer's, and its number is not the target's.
     OtherService,
     /// The current life has changed.
     Changed,
     /// Another life reports, and is to be asked.
-    ToBeAsked,
+    NeedsCheck,
 }
 
 /// See the module.
 #[derive(Debug, Default)]
-pub struct TargetLives {
+pub struct TargetIncarnations {
     current: Option<TargetInfo>,
     /// Name of the last life that was current: orders that may still be on their way bear it.
     last_name: Option<TargetName>,
     /// Number of the current life's last report.
     sequence: u64,
-    past: VecDeque<TargetLife>,
+    past: VecDeque<TargetIncarnation>,
     reported: Vec<ReportedLife>,
 }
 
-impl TargetLives {
+impl TargetIncarnations {
     /// The life that is worked with, if any.
     pub fn current(&self) -> Option<&TargetInfo> {
         self.current.as_ref()
     }
 
     /// What tells it from others.
-    pub fn current_life(&self) -> Option<&TargetLife> {
+    pub fn current_incarnation(&self) -> Option<&TargetIncarnation> {
         self.current.as_ref().map(|t| &t.life)
     }
 
     /// The name that calls to it bear.
     pub fn current_name(&self) -> Option<TargetName> {
-        self.current_life().map(|life| life.name.clone())
+        self.current_incarnation().map(|life| life.name.clone())
     }
 
     /// Name of the last life that was worked with.
@@ -116,31 +116,31 @@
     }
 
     /// Takes in a report.
-    pub fn report(&mut self, now: Now, report: TargetReport) -> Reported {
+    pub fn report(&mut self, now: Now, report: TargetReport) -> ReportOutcome {
         if self.past.contains(&report.info.life) {
-            return Reported::PastLife;
+            return ReportOutcome::PastIncarnation;
         }
-        if self.current_life() == Some(&report.info.life) {
+        if self.current_incarnation() == Some(&report.info.life) {
             return self.report_of_current(report);
         }
         self.note_reported(now, report);
-        Reported::ToBeAsked
+        ReportOutcome::NeedsCheck
     }
 
-    fn report_of_current(&mut self, report: TargetReport) -> Reported {
+    fn report_of_current(&mut self, report: TargetReport) -> ReportOutcome {
         if report.sequence <= self.sequence {
-            return Reported::Late(self.sequence);
+            return ReportOutcome::Late(self.sequence);
         }
         let service = self.current.as_ref().map(|t| &t.service);
         if service != Some(&report.info.service) {
-            return Reported::OtherService;
+            return ReportOutcome::OtherService;
         }
         self.sequence = report.sequence;
         if self.current.as_ref() == Some(&report.info) {
-            return Reported::Known;
+            return ReportOutcome::Known;
         }
         self.current = Some(report.info);
-        Reported::Changed
+        ReportOutcome::Changed
     }
 
     fn note_reported(&mut self, now: Now, report: TargetReport) {
@@ -183,7 +183,7 @@
     }
 
     /// The life that a call has asked, if the answer still matters.
-    pub fn asked_by(&self, number: u64) -> Option<TargetLife> {
+    pub fn asked_by(&self, number: u64) -> Option<TargetIncarnation> {
         let mut reported = self.reported.iter();
         let found = reported.find(|r| r.question == Question::Asked(number));
         found.map(|r| r.report.info.life.clone())
@@ -191,7 +191,7 @@
 
     /// A reported life has answered: it is the current one from now on. The one before must have
     /// been ended.
-    pub fn answered(&mut self, now: Now, life: &TargetLife) {
+    pub fn answered(&mut self, now: Now, life: &TargetIncarnation) {
         let mut reported = self.reported.iter();
         let Some(position) = reported.position(|r| r.report.info.life == *life) else {
             return;
@@ -207,12 +207,12 @@
     }
 
     /// A reported life has not answered.
-    pub fn unanswered(&mut self, now: Now, life: &TargetLife) {
+    pub fn unanswered(&mut self, now: Now, life: &TargetIncarnation) {
         self.ask_at(now + ASK_AGAIN, life);
     }
 
     /// Asks a reported life again at a time.
-    pub fn ask_at(&mut self, at: Now, life: &TargetLife) {
+    pub fn ask_at(&mut self, at: Now, life: &TargetIncarnation) {
         let asked = self.reported.iter_mut();
         for reported in asked.filter(|r| r.report.info.life == *life) {
             reported.question = Question::Due(at);
@@ -226,9 +226,9 @@
     }
 
     /// Another life answers in a life's place: it is over for good.
-    pub fn over(&mut self, life: &TargetLife) {
+    pub fn over(&mut self, life: &TargetIncarnation) {
         self.reported.retain(|r| r.report.info.life != *life);
-        if self.current_life() == Some(life) {
+        if self.current_incarnation() == Some(life) {
             self.current = None;
         }
         if self.past.len() >= MOST_PAST {
--- a/lib/src/target_lease.rs
+++ b/lib/src/target_lease.rs
@@ -10,7 +10,7 @@
 use crate::ids::Now;
 use crate::run::RunKey;
 use crate::run_book::FencingToken;
-use crate::target_life::BornMillis;
+use crate::target_incarnation::BornMillis;
 use crate::timings::Timings;
 
 /// Number of an end in one life of a target.
@@ -171,12 +171,12 @@
     }
 
     /// Whether lists are told by another life than those that were read last.
-    pub fn is_other_life(&self, born: Option<BornMillis>) -> bool {
+    pub fn is_other_incarnation(&self, born: Option<BornMillis>) -> bool {
         matches!((self.born, born), (Some(known), Some(told)) if known != told)
     }
 
     /// Notes which life tells the lists that are read.
-    pub fn note_life(&mut self, now: Now, born: Option<BornMillis>) {
+    pub fn note_incarnation(&mut self, now: Now, born: Option<BornMillis>) {
         self.born = born.or(self.born);
         self.listed_at = Some(now);
     }
@@ -235,7 +235,7 @@
 
     /// Whether a renewal was sent to a life of the target that is over. Its answer tells the clock
     /// and the ends of that life.
-    pub fn is_of_past_life(&self, number: u64) -> bool {
+    pub fn is_of_past_incarnation(&self, number: u64) -> bool {
         number < self.first_number
     }
 
@@ -296,7 +296,7 @@
     }
 
     /// Forgets what belonged to another life of the target.
-    pub fn reset_life(&mut self) {
+    pub fn reset_incarnation(&mut self) {
         self.clock = None;
         self.born = None;
         self.last_seen = 0;
--- a/lib/tests/test_batch_entry.rs
+++ b/lib/tests/test_batch_entry.rs
@@ -18,7 +18,7 @@
     AgentIntro, AgentNews, AgentPacket, Order, Packet, PeerIntro, PeerNews, PeerPacket, TargetInfo,
 };
 use trestleknot_lib::target_health::HealthWord;
-use trestleknot_lib::target_life::TargetLife;
+use trestleknot_lib::target_incarnation::TargetIncarnation;
 use trestleknot_lib::timings::Timings;
 
 const HOST: &str = "host.example";
@@ -35,7 +35,7 @@
 fn entry_with_link(link_rate: Option<f64>) -> BatchEntry {
     BatchEntry::new(EntryOptions {
         name: "entry".into(),
-        life: 1,
+        incarnation: 1,
         hall: "hall".into(),
         address: "10.0.0.1:7720".parse().expect("an address"),
         seeds: Vec::new(),
@@ -186,7 +186,7 @@
         hall: hall.into(),
     };
     let target = TargetInfo {
-        life: TargetLife {
+        life: TargetIncarnation {
             name: "life".into(),
             born: None,
         },
--- a/lib/tests/test_entry_directory.rs
+++ b/lib/tests/test_entry_directory.rs
@@ -220,7 +220,7 @@
 fn directory(entry: usize) -> EntryDirectory {
     let options = EntryOptions {
         name: format!("entry-{entry}").into(),
-        life: entry as u64 + 1,
+        incarnation: entry as u64 + 1,
         hall: "hall".into(),
         address: address(entry),
         seeds: Vec::new(),
--- a/lib/tests/test_outward_names.rs
+++ b/lib/tests/test_outward_names.rs
@@ -74,8 +74,8 @@
 use trestleknot_lib::settings::{self, AgentSettings, Checked, EntrySettings};
 use trestleknot_lib::status::{EntryStatus, TargetState, TargetStatus};
 use trestleknot_lib::target_health::HealthWord;
+use trestleknot_lib::target_incarnation::TargetIncarnation;
 use trestleknot_lib::target_lease::Renewal;
-use trestleknot_lib::target_life::TargetLife;
 use trestleknot_lib::telemetry::{Levels, Report, Telemetry};
 use trestleknot_lib::timings::{PlatformBounds, Timings};
 use trestleknot_lib::trace::TraceContext;
@@ -513,7 +513,7 @@
 
 fn target_info(born: Option<u64>) -> TargetInfo {
     TargetInfo {
-        life: TargetLife {
+        life: TargetIncarnation {
             name: "target-1".into(),
             born,
         },
@@ -1440,7 +1440,7 @@
         let entry = EntryNode::start(
             batch_event::EntryOptions {
                 name: "entry-1".into(),
-                life: 0xe1,
+                incarnation: 0xe1,
                 hall: "hall-1".into(),
                 address: listener.local_addr().expect("an address"),
                 seeds: Vec::new(),
@@ -1454,7 +1454,7 @@
         let agent = AgentNode::start(
             AgentOptions {
                 name: "agent-1".into(),
-                life: 0xa1,
+                incarnation: 0xa1,
                 hall: "hall-1".into(),
                 timings,
                 token: 1,
@@ -1571,7 +1571,7 @@
 
 #[test]
 fn test_display_ids() {
-    let life = |born| TargetLife {
+    let life = |born| TargetIncarnation {
         name: "target-1".into(),
         born,
     };
--- a/lib/tests/test_run_agent/crashes.rs
+++ b/lib/tests/test_run_agent/crashes.rs
@@ -130,7 +130,10 @@
     // The first lists that state a start are no proof of another one; a report of another name is.
     let actions = agent.handle(ms(112), report("life-2", false, 1));
     let (question, _) = questions(&actions)[0];
-    let actions = agent.handle(ms(113), life_answered(question, LifeAnswer::Lives(None)));
+    let actions = agent.handle(
+        ms(113),
+        life_answered(question, IncarnationAnswer::Alive(None)),
+    );
     assert_eq!(ends(&actions), [RunEnd::Crashed { alone: true }]);
     let actions = agent.handle(ms(114), AgentEvent::RenewalAnswered { number, answer });
     assert_eq!(starts(&actions), 0);
--- a/lib/tests/test_run_agent/lives.rs
+++ b/lib/tests/test_run_agent/incarnations.rs
@@ -12,12 +12,15 @@
 }
 
 #[test]
-fn test_handle_new_life_is_learnt_before_it_gets_work() {
+fn test_handle_new_incarnation_is_learnt_before_it_gets_work() {
     let mut agent = ready_agent();
     let actions = agent.handle(ms(10), report("life-2", false, 1));
     let (number, life) = questions(&actions)[0];
     assert_eq!(life, "life-2");
-    let actions = agent.handle(ms(10), life_answered(number, LifeAnswer::Lives(None)));
+    let actions = agent.handle(
+        ms(10),
+        life_answered(number, IncarnationAnswer::Alive(None)),
+    );
     let asked = renewals(&actions);
     assert_eq!(asked.len(), 1, "its lists are asked for");
     let refused = agent.handle(ms(11), packet(60_000, vec![start(0, 500)]));
@@ -44,14 +47,17 @@
 }
 
 #[test]
-fn test_handle_late_report_of_a_dead_life_ends_nothing() {
+fn test_handle_late_report_of_a_dead_incarnation_ends_nothing() {
     let mut agent = agent_with_run();
     // A cut held it back until its sender had crashed and the present life had reported.
     let actions = agent.handle(ms(20), report("life-0", false, 9));
     assert_eq!(agent.levels().runs, 1, "a report proves nothing");
     let (number, life) = questions(&actions)[0];
     assert_eq!(life, "life-0");
-    agent.handle(ms(21), life_answered(number, LifeAnswer::OtherLife));
+    agent.handle(
+        ms(21),
+        life_answered(number, IncarnationAnswer::OtherIncarnation),
+    );
     assert_eq!(agent.levels().runs, 1);
     let actions = agent.handle(ms(22), packet(60_000, vec![start(1, 5_000)]));
     assert_eq!(starts(&actions), 1, "the living life gets work");
@@ -61,17 +67,20 @@
 }
 
 #[test]
-fn test_handle_answer_of_a_new_life_ends_the_one_before() {
+fn test_handle_answer_of_a_new_incarnation_ends_the_one_before() {
     let mut agent = agent_with_run();
     let actions = agent.handle(ms(20), report("life-2", false, 1));
     assert_eq!(agent.levels().runs, 1, "a report proves nothing");
     let (number, _) = questions(&actions)[0];
-    agent.handle(ms(21), life_answered(number, LifeAnswer::Lives(None)));
+    agent.handle(
+        ms(21),
+        life_answered(number, IncarnationAnswer::Alive(None)),
+    );
     assert_eq!(agent.levels().runs, 0);
 }
 
 #[test]
-fn test_handle_silent_life_is_asked_again_for_a_while() {
+fn test_handle_silent_incarnation_is_asked_again_for_a_while() {
     let mut agent = agent_with_run();
     let mut actions = agent.handle(ms(20), report("life-2", false, 1));
     let mut asked = 0;
@@ -80,7 +89,7 @@
         let mut next = Vec::new();
         for (number, _) in questions(&actions) {
             asked += 1;
-            next.extend(agent.handle(now, life_answered(number, LifeAnswer::Silent)));
+            next.extend(agent.handle(now, life_answered(number, IncarnationAnswer::Silent)));
         }
         next.extend(agent.handle(now, AgentEvent::Wake));
         actions = next;
@@ -89,36 +98,48 @@
 }
 
 #[test]
-fn test_handle_answer_from_before_the_present_life_does_not_end_it() {
+fn test_handle_answer_from_before_the_present_incarnation_does_not_end_it() {
     // An agent that has just started and knows nothing: the dead life's report comes first.
     let mut agent = ready_agent();
     let old = agent.handle(ms(20), report("life-2", false, 1));
     let (old_question, _) = questions(&old)[0];
     let new = agent.handle(ms(21), report("life-3", false, 1));
     let (new_question, _) = questions(&new)[0];
-    let actions = agent.handle(ms(22), life_answered(new_question, LifeAnswer::Lives(None)));
+    let actions = agent.handle(
+        ms(22),
+        life_answered(new_question, IncarnationAnswer::Alive(None)),
+    );
     let (asked_anew, life) = questions(&actions)[0];
     assert_eq!(life, "life-2");
     // The dead life's answer was on its way for longer.
-    let late = agent.handle(ms(23), life_answered(old_question, LifeAnswer::Lives(None)));
+    let late = agent.handle(
+        ms(23),
+        life_answered(old_question, IncarnationAnswer::Alive(None)),
+    );
     assert_eq!(refusal(&late), None);
-    agent.handle(ms(24), life_answered(asked_anew, LifeAnswer::OtherLife));
+    agent.handle(
+        ms(24),
+        life_answered(asked_anew, IncarnationAnswer::OtherIncarnation),
+    );
     let number = *renewals(&actions).last().expect("its lists are asked for");
     let answer = lists();
     agent.handle(ms(25), AgentEvent::RenewalAnswered { number, answer });
     let actions = agent.handle(ms(26), packet(60_000, vec![start(1, 5_000)]));
     let call = start_calls(&actions).pop().expect("it is started");
-    assert_eq!(&*call.life, "life-3");
+    assert_eq!(&*call.target_name, "life-3");
 }
 
 #[test]
-fn test_handle_late_lists_of_a_dead_life_are_not_read() {
+fn test_handle_late_lists_of_a_dead_incarnation_are_not_read() {
     let mut agent = ready_agent();
     let actions = agent.handle(ms(10), packet(60_000, vec![start(0, 5_000)]));
     let old = fence(&actions).number;
     let actions = agent.handle(ms(20), report("life-2", false, 1));
     let (number, _) = questions(&actions)[0];
-    let actions = agent.handle(ms(21), life_answered(number, LifeAnswer::Lives(None)));
+    let actions = agent.handle(
+        ms(21),
+        life_answered(number, IncarnationAnswer::Alive(None)),
+    );
     let new = fence(&actions).number;
     let (number, answer) = (new, lists());
     agent.handle(ms(22), AgentEvent::RenewalAnswered { number, answer });
@@ -177,7 +198,7 @@
     assert_eq!(targets_told(&actions), [None]);
     let actions = agent.handle(ms(2), report("life-1", false, 1));
     let number = questions(&actions)[0].0;
-    let actions = agent.handle(ms(3), life_answered(number, LifeAnswer::Lives(None)));
+    let actions = agent.handle(ms(3), life_answered(number, IncarnationAnswer::Alive(None)));
     assert_eq!(targets_told(&actions), []);
     let number = renewals(&actions)[0];
     let answer = lists();
--- a/lib/tests/test_run_agent/leases.rs
+++ b/lib/tests/test_run_agent/leases.rs
@@ -281,7 +281,7 @@
     assert_eq!(ends(&actions), [], "it may still run");
     let actions = agent.handle(ms(3), report("life-1", false, 1));
     let (number, _) = questions(&actions)[0];
-    let actions = agent.handle(ms(4), life_answered(number, LifeAnswer::Lives(None)));
+    let actions = agent.handle(ms(4), life_answered(number, IncarnationAnswer::Alive(None)));
     let number = renewals(&actions)[0];
     let running = vec![ListedRun { key, percent: 10 }];
     let answer = RenewalAnswer::Lists {
--- a/lib/tests/test_run_agent/main.rs
+++ b/lib/tests/test_run_agent/main.rs
@@ -2,8 +2,8 @@
 
 mod crashes;
 mod evacuation;
+mod incarnations;
 mod leases;
-mod lives;
 mod room;
 mod starts;
 mod suspension;
@@ -20,14 +20,14 @@
 use trestleknot_lib::run::{NotStarted, RunEnd, RunKey, TaskKey};
 use trestleknot_lib::run_agent::RunAgent;
 use trestleknot_lib::run_event::{
-    AgentAction, AgentEvent, AgentOptions, LifeAnswer, RenewalAnswer, StartAnswer, StartCall,
-    TargetReport,
+    AgentAction, AgentEvent, AgentOptions, IncarnationAnswer, RenewalAnswer, StartAnswer,
+    StartCall, TargetReport,
 };
 use trestleknot_lib::run_message::{
     AgentNews, EntryPacket, Order, StartOrder, TargetInfo, Welcome,
 };
+use trestleknot_lib::target_incarnation::TargetIncarnation;
 use trestleknot_lib::target_lease::{ListedRun, Renewal};
-use trestleknot_lib::target_life::TargetLife;
 use trestleknot_lib::timings::Timings;
 
 const LINK: SessionId = 1;
@@ -48,9 +48,9 @@
 }
 
 /// A life of a target.
-fn life_of(name: &str, born: Option<u64>) -> TargetLife {
+fn life_of(name: &str, born: Option<u64>) -> TargetIncarnation {
     let name = Arc::from(name);
-    TargetLife { name, born }
+    TargetIncarnation { name, born }
 }
 
 fn info(life: &str, leaving: bool) -> TargetInfo {
@@ -92,21 +92,24 @@
 /// Numbers of the questions whether a life of the target lives, with the lives.
 fn questions(actions: &[AgentAction]) -> Vec<(u64, &str)> {
     let asked = actions.iter().filter_map(|a| match a {
-        AgentAction::AskLife { look, life } => Some((look.number, &**life)),
+        AgentAction::CheckIncarnation {
+            look,
+            target_name: life,
+        } => Some((look.number, &**life)),
         _ => None,
     });
     asked.collect()
 }
 
 /// Answers a question whether a life lives.
-fn life_answered(number: u64, answer: LifeAnswer) -> AgentEvent {
-    AgentEvent::LifeAnswered { number, answer }
+fn life_answered(number: u64, answer: IncarnationAnswer) -> AgentEvent {
+    AgentEvent::IncarnationChecked { number, answer }
 }
 
 fn options() -> AgentOptions {
     AgentOptions {
         name: "agent".into(),
-        life: 7,
+        incarnation: 7,
         hall: "hall".into(),
         timings: Timings::default(),
         token: 100,
@@ -121,7 +124,7 @@
     let actions = agent.handle(ms(1), report("life-1", false, 1));
     let (number, life) = questions(&actions)[0];
     assert_eq!(life, "life-1");
-    let actions = agent.handle(ms(1), life_answered(number, LifeAnswer::Lives(None)));
+    let actions = agent.handle(ms(1), life_answered(number, IncarnationAnswer::Alive(None)));
     let number = renewals(&actions)[0];
     let answer = lists();
     agent.handle(ms(2), AgentEvent::RenewalAnswered { number, answer });
--- a/lib/tests/test_target_board.rs
+++ b/lib/tests/test_target_board.rs
@@ -13,7 +13,7 @@
 use trestleknot_lib::run_message::TargetInfo;
 use trestleknot_lib::target_board::{LoadWord, Need, TargetBoard, Verdict};
 use trestleknot_lib::target_health::HealthWord;
-use trestleknot_lib::target_life::TargetLife;
+use trestleknot_lib::target_incarnation::TargetIncarnation;
 
 const BAD: u64 = 1;
 const SOUND: u64 = 2;
@@ -56,7 +56,7 @@
         board.join(ms(1), link, format!("agent-{link}").into(), "hall".into());
         let view = board.get_mut(link).expect("it has joined");
         view.info = Some(TargetInfo {
-            life: TargetLife {
+            life: TargetIncarnation {
                 name: "life".into(),
                 born: None,
             },
--- a/lib/testutils/src/run_fleet.rs
+++ b/lib/testutils/src/run_fleet.rs
@@ -39,7 +39,7 @@
 use trestleknot_lib::run_agent::RunAgent;
 use trestleknot_lib::run_event::{AgentAction, AgentEvent, AgentOptions, TargetReport};
 use trestleknot_lib::run_message::Packet;
-use trestleknot_lib::target_life::TargetLife;
+use trestleknot_lib::target_incarnation::TargetIncarnation;
 use trestleknot_lib::timings::{PlatformBounds, Timings};
 
 use crate::run_target::{RunTarget, SERVICE};
@@ -83,7 +83,7 @@
     /// An agent's VM goes on after a suspension.
     Awake(usize),
     /// A late order to a target, and the life that took it in.
-    Order(usize, TargetLife, targets::LateOrder),
+    Order(usize, TargetIncarnation, targets::LateOrder),
     Look(usize),
     Report(usize, bool),
     LateReport(usize, TargetReport),
@@ -436,7 +436,7 @@
             Node::Entry(i) => {
                 let options = EntryOptions {
                     name: format!("entry-{i}").into(),
-                    life,
+                    incarnation: life,
                     hall: self.hall_of(i),
                     address: Self::address(i),
                     seeds,
@@ -459,7 +459,7 @@
             Node::Agent(i) => {
                 let options = AgentOptions {
                     name: format!("agent-{i}").into(),
-                    life,
+                    incarnation: life,
                     hall: self.hall_of(i),
                     timings: self.timings,
                     token: self.token_base + self.now.as_millis() as u64,
@@ -560,9 +560,19 @@
             AgentAction::AskEvacuations => self.ask_store(i),
             AgentAction::AskEntries => self.ask_registry(i),
             AgentAction::Start(call) => self.order_start(i, call),
-            AgentAction::Stop { key, token, life } => self.order_stop(i, key, token, life),
-            AgentAction::Renew { renewal, life } => self.order_renewal(i, renewal, life),
-            AgentAction::AskLife { look, life } => self.ask_life(i, look, &life),
+            AgentAction::Stop {
+                key,
+                token,
+                target_name: life,
+            } => self.order_stop(i, key, token, life),
+            AgentAction::Renew {
+                renewal,
+                target_name: life,
+            } => self.order_renewal(i, renewal, life),
+            AgentAction::CheckIncarnation {
+                look,
+                target_name: life,
+            } => self.ask_life(i, look, &life),
             AgentAction::Log(event) => self.note_log(Node::Agent(i), &event),
             AgentAction::Exit => self.stop(Node::Agent(i), Duration::from_millis(200)),
         }
--- a/lib/testutils/src/run_fleet/targets.rs
+++ b/lib/testutils/src/run_fleet/targets.rs
@@ -9,10 +9,10 @@
 use trestleknot_lib::run::RunKey;
 use trestleknot_lib::run_book::FencingToken;
 use trestleknot_lib::run_event::{
-    AgentEvent, LifeAnswer, RenewalAnswer, StartAnswer, StartCall, TargetReport,
+    AgentEvent, IncarnationAnswer, RenewalAnswer, StartAnswer, StartCall, TargetReport,
 };
+use trestleknot_lib::target_incarnation::TargetIncarnation;
 use trestleknot_lib::target_lease::Renewal;
-use trestleknot_lib::target_life::TargetLife;
 
 use super::{Event, REPORT_EVERY, RunFleet};
 use crate::run_target::{RunTarget, StartRequest, TargetTrouble};
@@ -122,7 +122,7 @@
             payload: call.payload,
             until: call.until,
             token,
-            life: Some(call.life),
+            life: Some(call.target_name),
             is_late: false,
         };
         let answered = |answer| AgentEvent::StartAnswered { key, token, answer };
@@ -206,12 +206,17 @@
     pub(super) fn ask_life(&mut self, i: usize, look: Renewal, life: &Arc<str>) {
         let agent_life = self.agents[i].life;
         let number = look.number;
-        let answered = |answer| AgentEvent::LifeAnswered { number, answer };
+        let answered = |answer| AgentEvent::IncarnationChecked { number, answer };
         let is_lost = self.targets[i].is_down(self.now)
             || self.targets[i].target.trouble.is_mute
             || self.loses(i);
         if is_lost {
-            return self.answer(i, agent_life, look.limit, answered(LifeAnswer::Silent));
+            return self.answer(
+                i,
+                agent_life,
+                look.limit,
+                answered(IncarnationAnswer::Silent),
+            );
         }
         let target = &mut self.targets[i].target;
         let answer = target.renew(self.now, look.token, look.until, look.last_seen, Some(life));
@@ -308,7 +313,7 @@
         }
     }
 
-    pub(super) fn late_order(&mut self, i: usize, taken_by: &TargetLife, order: LateOrder) {
+    pub(super) fn late_order(&mut self, i: usize, taken_by: &TargetIncarnation, order: LateOrder) {
         let now = self.now;
         if self.targets[i].is_down(now) {
             return;
--- a/lib/testutils/src/run_target.rs
+++ b/lib/testutils/src/run_target.rs
@@ -13,8 +13,8 @@
 use trestleknot_lib::run_book::FencingToken;
 use trestleknot_lib::run_event::{RenewalAnswer, StartAnswer};
 use trestleknot_lib::run_message::TargetInfo;
+use trestleknot_lib::target_incarnation::{BornMillis, TargetIncarnation, TargetName};
 use trestleknot_lib::target_lease::{EndNumber, ListedRun, TargetMillis};
-use trestleknot_lib::target_life::{BornMillis, TargetLife, TargetName};
 
 /// Longest lease that is given.
 pub const LONGEST_LEASE: Duration = Duration::from_millis(1_000);
@@ -192,8 +192,8 @@
     }
 
     /// Its present life.
-    pub fn life(&self) -> TargetLife {
-        TargetLife {
+    pub fn life(&self) -> TargetIncarnation {
+        TargetIncarnation {
             name: self.life_name(),
             born: Some(self.born_millis()),
         }
@@ -256,7 +256,7 @@
     }
 
     /// Notes that the report of a life that leaves was acknowledged.
-    pub fn note_leave_heard(&mut self, now: Now, life: &TargetLife) {
+    pub fn note_leave_heard(&mut self, now: Now, life: &TargetIncarnation) {
         if self.is_leaving && self.life() == *life {
             self.leave_heard.get_or_insert(now);
         }
@@ -374,15 +374,15 @@
         self.next_end += 1;
     }
 
-    fn is_other_life(&self, life: Option<&str>) -> bool {
+    fn is_other_incarnation(&self, life: Option<&str>) -> bool {
         life.is_some_and(|life| life != &*self.life_name())
     }
 
     /// Obeys an order to start.
     pub fn start(&mut self, now: Now, request: &StartRequest) -> StartAnswer {
         self.advance(now);
-        if self.is_other_life(request.life.as_deref()) {
-            return StartAnswer::OtherLife;
+        if self.is_other_incarnation(request.life.as_deref()) {
+            return StartAnswer::OtherIncarnation;
         }
         if self.trouble.sheds {
             return StartAnswer::Unhealthy;
@@ -448,7 +448,7 @@
     /// Obeys an order to stop.
     pub fn stop(&mut self, now: Now, key: RunKey, token: FencingToken, life: Option<&str>) {
         self.advance(now);
-        if self.is_other_life(life) || token < self.token_seen {
+        if self.is_other_incarnation(life) || token < self.token_seen {
             return;
         }
         self.token_seen = token;
@@ -469,8 +469,8 @@
         life: Option<&str>,
     ) -> RenewalAnswer {
         self.advance(now);
-        if self.is_other_life(life) {
-            return RenewalAnswer::OtherLife;
+        if self.is_other_incarnation(life) {
+            return RenewalAnswer::OtherIncarnation;
         }
         if token < self.token_seen {
             return RenewalAnswer::Fenced;
