--- a/lib/src/batch_entry.rs
+++ b/lib/src/batch_entry.rs
@@ -29,7 +29,7 @@
 use crate::run::{BatchId, RunKey};
 use crate::run_message::{AgentMillis, Order, Packet, PeerPacket, StartOrder};
 use crate::standing_queue::StandingQueue;
-use crate::target_board::TargetBoard;
+use crate::target_registry::TargetRegistry;
 use crate::usual_patience::UsualPatience;
 
 /// Batches in a row that find no room before the rest is left for later.
@@ -60,7 +60,7 @@
     out: Vec<EntryAction>,
     directory: EntryDirectory,
     table: BatchTable,
-    board: TargetBoard,
+    targets: TargetRegistry,
     outboxes: BTreeMap<SessionId, Outbox>,
     /// Agents that are lost with runs out, and when these are proven over.
     lost: BTreeMap<NodeName, Now>,
@@ -89,7 +89,7 @@
             out: Vec::new(),
             directory: EntryDirectory::new(options.clone(), options.timings.lost_proof),
             table: BatchTable::default(),
-            board: TargetBoard::default(),
+            targets: TargetRegistry::default(),
             outboxes: BTreeMap::new(),
             lost: BTreeMap::new(),
             needs_placing: false,
@@ -163,7 +163,7 @@
     pub fn is_ready(&self) -> bool {
         let has_config = self.directory.config().table().is_some();
         // Without a target for evacuations alone, callers are best told so at once.
-        has_config && !self.drain.has_begun() && self.board.reachable(self.now) > 0
+        has_config && !self.drain.has_begun() && self.targets.reachable(self.now) > 0
     }
 
     /// Whether connections should be given up after their next answer.
@@ -175,7 +175,7 @@
     pub fn levels(&self) -> EntryLevels {
         EntryLevels {
             batches: self.table.len() as u64,
-            targets: self.board.usable(self.now) as u64,
+            targets: self.targets.usable(self.now) as u64,
             config_version: self.directory.config().version(),
             evacuated_halls: self.directory.evacuations().halls.len() as u64,
         }
@@ -203,7 +203,7 @@
             EntryEvent::LinkUp(link, dialled) => self.link_up(link, dialled),
             EntryEvent::LinkDown(link) => {
                 self.link_down(link);
-                self.board.note_entries(self.directory.entries_a_target());
+                self.targets.note_entries(self.directory.entries_a_target());
             }
             EntryEvent::Packet(link, Packet::FromAgent(packet)) => self.agent_packet(link, packet),
             EntryEvent::Packet(link, Packet::BetweenEntries(packet)) => {
@@ -225,7 +225,7 @@
         self.learn_entries(seeds);
         self.directory.close_silent(self.now);
         let before = self.now.saturating_sub(self.options.timings.silent_link);
-        for link in self.board.silent(before) {
+        for link in self.targets.silent(before) {
             self.out.push(EntryAction::Close(link));
             self.link_down(link);
         }
@@ -251,7 +251,7 @@
             now: self.now,
             hall: &self.options.hall,
             table: &mut self.table,
-            board: &mut self.board,
+            targets: &mut self.targets,
             link: &mut self.link,
             rng: &mut self.rng,
             placed: Vec::new(),
@@ -272,7 +272,7 @@
         }
         let placed = placing.placed;
         // Without any target, what waits is news of targets and not room.
-        if placing.lacked_room && placing.board.usable(self.now) > 0 {
+        if placing.lacked_room && placing.targets.usable(self.now) > 0 {
             self.lacked_room = Some(self.now);
         }
         self.link_full_until = self.link.full_until(self.now);
@@ -290,7 +290,7 @@
             alone,
             needs_payload,
         } = placed;
-        let (Some(batch), Some(view)) = (self.table.get(id), self.board.get(link)) else {
+        let (Some(batch), Some(view)) = (self.table.get(id), self.targets.get(link)) else {
             return;
         };
         let spec = &batch.steps[step].spec;
@@ -315,7 +315,7 @@
              pace={:.2}",
             view.agent,
             order.runs,
-            view.pace(),
+            view.slowdown(),
         );
         self.log(EventCode::TasksPlaced, detail);
         if let Some(outbox) = self.outboxes.get_mut(&link) {
@@ -375,7 +375,7 @@
 
     fn peer_packet(&mut self, link: SessionId, packet: PeerPacket) {
         let effects = self.directory.packet(self.now, link, packet);
-        self.board.note_entries(self.directory.entries_a_target());
+        self.targets.note_entries(self.directory.entries_a_target());
         self.tell_agents(effects.entries);
         self.needs_placing |= effects.may_place;
         if effects.evacuations_changed {
@@ -386,7 +386,7 @@
     /// Obeys other evacuations from now on, and has the agents obey them.
     fn evacuations_changed(&mut self) {
         let state = self.directory.evacuations().clone();
-        self.board.note_evacuations(&state);
+        self.targets.note_evacuations(&state);
         for outbox in self.outboxes.values_mut() {
             outbox.orders.push(Order::Evacuations(state.clone()));
         }
--- a/lib/src/batch_entry/agents.rs
+++ b/lib/src/batch_entry/agents.rs
@@ -14,8 +14,8 @@
 use crate::run_message::{
     AgentMillis, AgentNews, AgentPacket, EntryPacket, Order, Packet, Welcome,
 };
-use crate::target_board::{LoadWord, Need, Refused, Verdict};
-use crate::target_health::HealthWord;
+use crate::target_health::HealthReport;
+use crate::target_registry::{EjectionChange, LoadReport, Need, StartRefusal};
 
 /// A slow run is moved if the move takes less than this share of what it still needs.
 const MOVE_GAIN: f64 = 0.7;
@@ -34,7 +34,7 @@
     pub(super) fn link_down(&mut self, link: SessionId) {
         self.directory.link_down(self.now, link);
         self.outboxes.remove(&link);
-        let Some(view) = self.board.leave(link) else {
+        let Some(view) = self.targets.leave(link) else {
             return;
         };
         let out = self.table.outs_at(&view.agent).len();
@@ -56,21 +56,21 @@
                 self.agent_joined(link, intro.clone(), packet.clock);
             }
         }
-        let word = LoadWord {
+        let word = LoadReport {
             clock: packet.clock,
             free: packet.free,
             starts_seen: packet.starts_seen,
             health: packet.health,
         };
-        let verdict = self.board.heard(self.now, link, word);
-        self.log_verdict(link, verdict, packet.health);
+        let verdict = self.targets.heard(self.now, link, word);
+        self.log_ejection_change(link, verdict, packet.health);
         self.needs_placing |= self.table.has_waiting();
         for news in packet.news {
             self.agent_news(link, news);
         }
         let answer_after = self.options.timings.answer_after();
         let is_quiet = self
-            .board
+            .targets
             .get(link)
             .is_some_and(|v| v.sent + answer_after <= self.now);
         if is_quiet {
@@ -84,9 +84,9 @@
         intro: crate::run_message::AgentIntro,
         clock: AgentMillis,
     ) {
-        if let Some(old) = self.board.link_of(&intro.name) {
+        if let Some(old) = self.targets.link_of(&intro.name) {
             self.out.push(EntryAction::Close(old));
-            self.board.leave(old);
+            self.targets.leave(old);
             self.outboxes.remove(&old);
         }
         let keys = self.table.outs_at(&intro.name);
@@ -106,14 +106,14 @@
             format!("agent={} life={:x} claims={count}", intro.name, intro.life),
         );
         self.lost.remove(&intro.name);
-        self.board.join(self.now, link, intro.name, intro.hall);
-        let word = LoadWord {
+        self.targets.join(self.now, link, intro.name, intro.hall);
+        let word = LoadReport {
             clock,
             free: Resources::NONE,
             starts_seen: 0,
-            health: HealthWord::default(),
+            health: HealthReport::default(),
         };
-        self.board.heard(self.now, link, word);
+        self.targets.heard(self.now, link, word);
         let welcome = Welcome {
             name: self.options.name.clone(),
             life: self.options.incarnation,
@@ -136,7 +136,7 @@
         match news {
             AgentNews::Hello(_) => {}
             AgentNews::Target(info) => {
-                if let Some(view) = self.board.get_mut(link) {
+                if let Some(view) = self.targets.get_mut(link) {
                     view.info = info;
                 }
             }
@@ -148,7 +148,7 @@
                 percent,
             } => self.run_slow(link, key, ran_ms, percent),
             AgentNews::Leaving => {
-                if let Some(view) = self.board.get_mut(link) {
+                if let Some(view) = self.targets.get_mut(link) {
                     view.is_leaving = true;
                     let agent = view.agent.clone();
                     self.log(EventCode::AgentLeaving, format!("agent={agent}"));
@@ -171,7 +171,7 @@
             RunEnd::Stopped | RunEnd::Lapsed | RunEnd::Lost => RunOver::Again { superseded: false },
         };
         if over != RunOver::Done {
-            let agent = self.board.get(link).map(|v| v.agent.clone());
+            let agent = self.targets.get(link).map(|v| v.agent.clone());
             let agent = agent.as_deref().unwrap_or("-");
             self.log(
                 EventCode::TaskAgain,
@@ -195,7 +195,7 @@
         } else {
             EventCode::TaskSuspected
         };
-        let agent = self.board.get(link).map(|v| v.agent.clone());
+        let agent = self.targets.get(link).map(|v| v.agent.clone());
         let agent = agent.as_deref().unwrap_or("-");
         let crashes = record.crashes();
         self.log(
@@ -205,7 +205,7 @@
     }
 
     pub(super) fn run_not_started(&mut self, link: SessionId, key: RunKey, reason: NotStarted) {
-        let agent = self.board.get(link).map(|v| v.agent.clone());
+        let agent = self.targets.get(link).map(|v| v.agent.clone());
         let agent = agent.as_deref().unwrap_or("-");
         self.log(
             EventCode::TaskAgain,
@@ -213,24 +213,30 @@
         );
         match reason {
             NotStarted::Unhealthy | NotStarted::Unreachable => {
-                self.board.refused(self.now, link, Refused::Unwell);
+                self.targets
+                    .refused(self.now, link, StartRefusal::Unhealthy);
             }
             NotStarted::Full => self.forecast.note_returned(),
             NotStarted::NoPayload => self.table.forget_payload(key.task.batch, link),
-            NotStarted::Doubtful => self.board.refused(self.now, link, Refused::Doubtful),
+            NotStarted::Doubtful => self.targets.refused(self.now, link, StartRefusal::Doubtful),
             _ => {}
         }
         let superseded = reason == NotStarted::Superseded;
         self.run_over(key, RunOver::Again { superseded });
     }
 
-    pub(super) fn log_verdict(&mut self, link: SessionId, verdict: Verdict, health: HealthWord) {
+    pub(super) fn log_ejection_change(
+        &mut self,
+        link: SessionId,
+        verdict: EjectionChange,
+        health: HealthReport,
+    ) {
         let code = match verdict {
-            Verdict::Same => return,
-            Verdict::SetAside => EventCode::TargetSetAside,
-            Verdict::Returned => EventCode::TargetReturned,
+            EjectionChange::Unchanged => return,
+            EjectionChange::Ejected => EventCode::TargetSetAside,
+            EjectionChange::Readmitted => EventCode::TargetReturned,
         };
-        if let Some(view) = self.board.get(link) {
+        if let Some(view) = self.targets.get(link) {
             let agent = view.agent.clone();
             self.log(code, format!("agent={agent} health={health:?}"));
         }
@@ -249,7 +255,7 @@
         if elsewhere > rest.mul_f64(MOVE_GAIN) {
             return;
         }
-        let Some(agent) = self.board.get(link).map(|v| v.agent.clone()) else {
+        let Some(agent) = self.targets.get(link).map(|v| v.agent.clone()) else {
             return;
         };
         let Some(batch) = self.table.get_mut(key.task.batch) else {
@@ -260,7 +266,7 @@
         }
         let step = &mut batch.steps[usize::from(key.task.step)];
         let is_estimate_wrong = step.is_slow_everywhere(&agent, whole);
-        if is_estimate_wrong && !self.board.is_outcast(self.now, link) {
+        if is_estimate_wrong && !self.targets.is_ejected(self.now, link) {
             return;
         }
         if !self.has_room_elsewhere(key, &agent) {
@@ -290,17 +296,17 @@
             payload_cost: 0.0,
             is_idle: false,
         };
-        let is_same = |view: &crate::target_board::TargetView| view.agent == *agent;
+        let is_same = |view: &crate::target_registry::TargetView| view.agent == *agent;
         let hall = &self.options.hall;
         let chosen = self
-            .board
+            .targets
             .choose(self.now, &need, hall, is_same, &mut self.rng);
         chosen.is_some()
     }
 
     pub(super) fn order_stop(&mut self, key: RunKey, agent: &str) {
         // Without a link the agent's own rules stop it: the entry's lease there runs out.
-        let Some(link) = self.board.link_of(agent) else {
+        let Some(link) = self.targets.link_of(agent) else {
             return;
         };
         if let Some(outbox) = self.outboxes.get_mut(&link) {
@@ -317,7 +323,7 @@
             self.table.waiting_tasks()
         };
         let waiting = waiting.min(MOST_COUNTED);
-        let (Some(outbox), Some(view)) = (self.outboxes.get_mut(&link), self.board.get_mut(link))
+        let (Some(outbox), Some(view)) = (self.outboxes.get_mut(&link), self.targets.get_mut(link))
         else {
             return;
         };
--- a/lib/src/batch_entry/callers.rs
+++ b/lib/src/batch_entry/callers.rs
@@ -94,7 +94,7 @@
         if queue.needs_advice {
             return Err(refused(Refusal::Unsupported(Unsupported::Advice)));
         }
-        if self.board.is_evacuated(self.now, &queue.service) {
+        if self.targets.is_evacuated(self.now, &queue.service) {
             return Err(refused(Refusal::Evacuated));
         }
         let chain = spec.longest_chain();
@@ -115,7 +115,7 @@
         self.refuse_hopeless(&spec, times)?;
         let tasks: u32 = spec.steps.iter().map(|s| s.count).sum();
         let due_ms = (times.due - times.arrived).as_millis();
-        let usable = self.board.usable(self.now);
+        let usable = self.targets.usable(self.now);
         self.log(
             EventCode::BatchAdmitted,
             format!(
@@ -198,7 +198,7 @@
             let Some(batch) = self.table.get(id).filter(|b| !b.is_tried) else {
                 continue;
             };
-            if self.board.is_evacuated(self.now, &batch.queue.service) {
+            if self.targets.is_evacuated(self.now, &batch.queue.service) {
                 self.close(id, CloseReason::Evacuated);
             }
         }
@@ -239,7 +239,7 @@
         let objective = chain.mul_f64(queue.stretch) + queue.target_latency;
         let slack = objective.saturating_sub(chain.mul_f64(SLOWEST_SOUND));
         let mut wait = self.standing.allowance(arrived, slack);
-        if self.board.usable(self.now) == 0 {
+        if self.targets.usable(self.now) == 0 {
             wait = wait.max(WAIT_FOR_TARGETS);
         }
         let age = if is_returning {
@@ -356,7 +356,7 @@
         let took = self.now.saturating_sub(batch.arrived).as_millis() as u64;
         let objective = batch.due.saturating_sub(batch.arrived).as_millis() as u64;
         let queue = &batch.queue.name;
-        let usable = self.board.usable(self.now);
+        let usable = self.targets.usable(self.now);
         self.log(
             EventCode::BatchAnswered,
             format!(
--- a/lib/src/batch_placing.rs
+++ b/lib/src/batch_placing.rs
@@ -17,7 +17,7 @@
 use crate::link_pace::LinkPace;
 use crate::run::{BatchId, RunKey, RunNumber, TaskKey};
 use crate::run_message::START_BYTES;
-use crate::target_board::{Need, TargetBoard, TargetView};
+use crate::target_registry::{Need, TargetRegistry, TargetView};
 
 /// A run is taken to last this long at the least where costs are shares of it.
 const SHORTEST_RUN: Duration = Duration::from_millis(10);
@@ -62,7 +62,7 @@
     /// The batches.
     pub table: &'a mut BatchTable,
     /// The targets.
-    pub board: &'a mut TargetBoard,
+    pub targets: &'a mut TargetRegistry,
     /// The entry's own link.
     pub link: &'a mut LinkPace,
     /// Chance.
@@ -176,7 +176,7 @@
         }
         let link = chosen?;
         let batch = self.table.get(id)?;
-        let view = self.board.get(link)?;
+        let view = self.targets.get(link)?;
         let taken = match &view.info {
             Some(info) if alone => info.capacity,
             _ => batch.steps[step].spec.size,
@@ -191,7 +191,7 @@
             },
             run: task.run,
         };
-        self.board.sent_start(self.now, link, taken);
+        self.targets.sent_start(self.now, link, taken);
         self.note_payload(id, link);
         self.table.note_out(self.now, key, &agent);
         Some(Place { link, alone })
@@ -223,7 +223,7 @@
                 most.is_some_and(|most| table.step_outs_at(&view.agent, id, step as u16) >= most);
             has_most || (task.crashes.is_suspect() && table.has_suspect_at(&view.agent))
         };
-        self.board
+        self.targets
             .choose(self.now, &need, self.hall, is_full, self.rng)
     }
 }
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -14,7 +14,7 @@
 //!
 //! - words: [`clock`], [`resources`], [`run`], [`queue`], [`batch`], [`payload`], [`run_message`];
 //! - state: [`answer_time`], [`payload_cache`], [`entry_search`], [`run_book`], [`target_lease`], [`room_shares`], [`room_forecast`], [`entry_leases`],
-//!   [`homes`], [`evacuations`], [`link_pace`], [`crash_suspects`], [`batch_table`], [`target_board`], [`peer_book`], [`closing_elsewhere`], [`config_search`], [`early_batches`],
+//!   [`homes`], [`evacuations`], [`link_pace`], [`crash_suspects`], [`batch_table`], [`target_registry`], [`peer_book`], [`closing_elsewhere`], [`config_search`], [`early_batches`],
 //!   [`entry_directory`], [`entry_drain`];
 //! - the cores: [`batch_entry`] and [`run_agent`], with what they are told and want done in
 //!   [`batch_event`] and [`run_event`], and the choice of targets in [`batch_placing`];
@@ -112,11 +112,11 @@
 pub mod slot_book;
 pub mod standing_queue;
 pub mod status;
-pub mod target_board;
 pub mod target_health;
 pub mod target_incarnation;
 pub mod target_incarnations;
 pub mod target_lease;
+pub mod target_registry;
 pub mod target_table;
 pub mod telemetry;
 pub mod timings;
--- a/lib/src/run_agent/lists.rs
+++ b/lib/src/run_agent/lists.rs
@@ -245,9 +245,9 @@
             return;
         }
         run.slow_report_at = now + SLOW_AGAIN;
-        let pace = projected.div_duration_f64(run.estimate);
+        let slowdown = projected.div_duration_f64(run.estimate);
         let owner = run.owner;
-        let slow = SlowRun { pace, percent };
+        let slow = SlowRun { slowdown, percent };
         self.health.run_slow(now, key.task.batch, slow);
         let Some(owner) = owner else {
             return;
--- a/lib/src/run_message.rs
+++ b/lib/src/run_message.rs
@@ -15,7 +15,7 @@
 use crate::queue::{ConfigVersion, QueueTable};
 use crate::resources::Resources;
 use crate::run::{BatchId, NotStarted, RunEnd, RunKey, RunNumber, TaskKey};
-use crate::target_health::HealthWord;
+use crate::target_health::HealthReport;
 use crate::target_incarnation::TargetIncarnation;
 
 /// Milliseconds on the clock of one agent's life, from its start.
@@ -81,7 +81,7 @@
     pub starts_seen: u64,
     /// How well the target serves.
     #[serde(rename = "h", default)]
-    pub health: HealthWord,
+    pub health: HealthReport,
     /// News, in order.
     #[serde(rename = "n", default, skip_serializing_if = "Vec::is_empty")]
     pub news: Vec<AgentNews>,
--- a/lib/src/target_health.rs
+++ b/lib/src/target_health.rs
@@ -3,6 +3,7 @@
 //! The agent counts, for it sees the runs of all entries, and tells the result with every packet.
 //! Entries that each counted for themselves would each lose tasks to a bad target before they knew.
 
+use std::fmt;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
@@ -30,8 +31,8 @@
 pub const TOO_SLOW: f64 = 2.6;
 
 /// What an agent tells of its target's health.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HealthWord {
+#[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub struct HealthReport {
     /// Run time over estimate, averaged, in percent.
     #[serde(rename = "p")]
     pub pace_percent: u16,
@@ -40,7 +41,7 @@
     pub failed_percent: u8,
 }
 
-impl Default for HealthWord {
+impl Default for HealthReport {
     /// Of a target that nothing is known of.
     fn default() -> Self {
         Self {
@@ -50,14 +51,24 @@
     }
 }
 
-impl HealthWord {
+impl fmt::Debug for HealthReport {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        // The log format keeps this name.
+        f.debug_struct("HealthWord")
+            .field("pace_percent", &self.pace_percent)
+            .field("failed_percent", &self.failed_percent)
+            .finish()
+    }
+}
+
+impl HealthReport {
     /// Run time over estimate, averaged.
-    pub fn pace(&self) -> f64 {
+    pub fn slowdown(&self) -> f64 {
         f64::from(self.pace_percent) / 100.0
     }
 
     /// Whether the target fails so often that it gets only probes.
-    pub fn is_set_aside(&self) -> bool {
+    pub fn fails_too_often(&self) -> bool {
         f64::from(self.failed_percent) / 100.0 > FAILING
     }
 }
@@ -66,7 +77,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowRun {
     /// The share of its estimate that it would take.
-    pub pace: f64,
+    pub slowdown: f64,
     /// How much of it is done, in percent.
     pub percent: u32,
 }
@@ -74,7 +85,7 @@
 /// See the module.
 #[derive(Debug)]
 pub struct TargetHealth {
-    pace: f64,
+    slowdown: f64,
     failures: f64,
     /// Batch of which a run was found slow last, and when.
     slow_batch: Option<(BatchId, Now)>,
@@ -83,7 +94,7 @@
 impl Default for TargetHealth {
     fn default() -> Self {
         Self {
-            pace: 1.0,
+            slowdown: 1.0,
             failures: 0.0,
             slow_batch: None,
         }
@@ -92,9 +103,9 @@
 
 impl TargetHealth {
     /// A run ended well, in this share of its estimate.
-    pub fn run_done(&mut self, pace: f64) {
+    pub fn run_done(&mut self, slowdown: f64) {
         self.failures *= 1.0 - FAILURE_WEIGHT;
-        self.learn_pace(pace.min(SLOWEST_ENDED));
+        self.learn_pace(slowdown.min(SLOWEST_ENDED));
     }
 
     /// A run failed.
@@ -110,24 +121,24 @@
             .is_some_and(|(before, at)| before != batch && at + SUSPECT_FOR > now);
         self.slow_batch = Some((batch, now));
         if is_suspect || run.percent < STANDS_STILL {
-            self.learn_pace(run.pace.max(self.pace));
+            self.learn_pace(run.slowdown.max(self.slowdown));
         }
     }
 
-    fn learn_pace(&mut self, pace: f64) {
-        let pace = pace.clamp(PACE_BOUNDS.0, PACE_BOUNDS.1);
-        let weight = if self.pace > TOO_SLOW {
+    fn learn_pace(&mut self, slowdown: f64) {
+        let slowdown = slowdown.clamp(PACE_BOUNDS.0, PACE_BOUNDS.1);
+        let weight = if self.slowdown > TOO_SLOW {
             PROBE_WEIGHT
         } else {
             PACE_WEIGHT
         };
-        self.pace += weight * (pace - self.pace);
+        self.slowdown += weight * (slowdown - self.slowdown);
     }
 
     /// What entries are told.
-    pub fn word(&self) -> HealthWord {
-        HealthWord {
-            pace_percent: (self.pace * 100.0).round() as u16,
+    pub fn word(&self) -> HealthReport {
+        HealthReport {
+            pace_percent: (self.slowdown * 100.0).round() as u16,
             failed_percent: (self.failures * 100.0).round() as u8,
         }
     }
--- a/lib/src/target_board.rs
+++ b/lib/src/target_registry.rs
@@ -16,7 +16,7 @@
 use crate::queue::Queue;
 use crate::resources::Resources;
 use crate::run_message::{AgentMillis, TargetInfo};
-use crate::target_health::{HealthWord, TOO_SLOW};
+use crate::target_health::{HealthReport, TOO_SLOW};
 
 /// An agent that has not been heard for so long gets no work: two heartbeats and a half.
 const FRESH: Duration = Duration::from_millis(650);
@@ -72,7 +72,7 @@
     free: Resources,
     starts_sent: u64,
     unseen: VecDeque<Resources>,
-    health: HealthWord,
+    health: HealthReport,
     closed_until: Now,
     /// When an outcast may get its next probe.
     probe_at: Now,
@@ -80,7 +80,7 @@
 
 /// What each packet of an agent says of its load.
 #[derive(Debug, Clone, Copy)]
-pub struct LoadWord {
+pub struct LoadReport {
     /// The agent's clock.
     pub clock: AgentMillis,
     /// Free resources that this entry may take.
@@ -88,7 +88,7 @@
     /// Starts of this entry that `free` takes into account.
     pub starts_seen: u64,
     /// How well the target serves.
-    pub health: HealthWord,
+    pub health: HealthReport,
 }
 
 /// What a task needs of a target.
@@ -129,7 +129,7 @@
             free: Resources::NONE,
             starts_sent: 0,
             unseen: VecDeque::new(),
-            health: HealthWord::default(),
+            health: HealthReport::default(),
             closed_until: Now::ZERO,
             probe_at: Now::ZERO,
         }
@@ -187,8 +187,8 @@
         };
         let used = info.capacity.minus(self.room()).plus(need.size);
         let used = used.share_of(info.capacity);
-        let pace = self.pace();
-        let mut cost = pace * (1.0 + CROWD_COST * used);
+        let slowdown = self.slowdown();
+        let mut cost = slowdown * (1.0 + CROWD_COST * used);
         if used > 1.0 - TIGHT_SHARE {
             cost += TIGHT_COST;
         }
@@ -200,10 +200,10 @@
             .preferred_rack
             .is_some_and(|rack| info.labels.iter().all(|have| have != rack));
         if is_far {
-            cost += FAR_RACK_COST * pace;
+            cost += FAR_RACK_COST * slowdown;
         }
         if need.avoid == Some(&*self.agent) {
-            cost += pace;
+            cost += slowdown;
         }
         cost
     }
@@ -211,34 +211,34 @@
 
 /// Why a target refused a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Refused {
+pub enum StartRefusal {
     /// It is unwell or silent.
-    Unwell,
+    Unhealthy,
     /// It has just left another call unanswered.
     Doubtful,
 }
 
 /// What changed about a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum EjectionChange {
     /// Nothing to speak of.
-    Same,
+    Unchanged,
     /// It is set aside for its failures.
-    SetAside,
+    Ejected,
     /// It may have work again.
-    Returned,
+    Readmitted,
 }
 
 /// See the module.
 #[derive(Debug)]
-pub struct TargetBoard {
+pub struct TargetRegistry {
     views: BTreeMap<SessionId, TargetView>,
     /// How often this entry gives an outcast a task.
     probe_every: Duration,
     evacuated: Arc<EvacuatedHalls>,
 }
 
-impl Default for TargetBoard {
+impl Default for TargetRegistry {
     fn default() -> Self {
         Self {
             views: BTreeMap::new(),
@@ -248,7 +248,7 @@
     }
 }
 
-impl TargetBoard {
+impl TargetRegistry {
     /// Notes an agent's hello.
     pub fn join(&mut self, now: Now, link: SessionId, agent: NodeName, hall: HallName) {
         let mut view = TargetView::new(now, agent, hall);
@@ -317,15 +317,15 @@
     }
 
     /// Notes an agent's packet; says what changed about its target.
-    pub fn heard(&mut self, now: Now, link: SessionId, word: LoadWord) -> Verdict {
-        let LoadWord {
+    pub fn heard(&mut self, now: Now, link: SessionId, word: LoadReport) -> EjectionChange {
+        let LoadReport {
             clock,
             free,
             starts_seen,
             health,
         } = word;
         let Some(view) = self.views.get_mut(&link) else {
-            return Verdict::Same;
+            return EjectionChange::Unchanged;
         };
         view.heard = now;
         view.clock = clock;
@@ -334,15 +334,15 @@
         while view.unseen.len() > still_unseen {
             view.unseen.pop_front();
         }
-        let was_aside = view.health.is_set_aside();
+        let was_aside = view.health.fails_too_often();
         view.health = health;
-        match (was_aside, health.is_set_aside()) {
+        match (was_aside, health.fails_too_often()) {
             (false, true) => {
                 view.probe_at = now + self.probe_every;
-                Verdict::SetAside
+                EjectionChange::Ejected
             }
-            (true, false) => Verdict::Returned,
-            _ => Verdict::Same,
+            (true, false) => EjectionChange::Readmitted,
+            _ => EjectionChange::Unchanged,
         }
     }
 
@@ -352,7 +352,7 @@
         if let Some(view) = self.views.get_mut(&link) {
             view.starts_sent += 1;
             view.unseen.push_back(size);
-            if view.is_outcast(best_pace) {
+            if view.is_ejected(best_pace) {
                 view.probe_at = now + self.probe_every;
             }
         }
@@ -379,7 +379,7 @@
                 && view.serves(need)
                 && need.size.fits_in(view.room())
                 && !is_full(view);
-            if !is_open || (view.is_outcast(best_pace) && view.probe_at > now) {
+            if !is_open || (view.is_ejected(best_pace) && view.probe_at > now) {
                 continue;
             }
             // A little chance keeps entries from all choosing the same one.
@@ -400,38 +400,42 @@
     /// against an idle target of an evacuated hall all others may seem too slow and get only probes.
     fn best_pace(&self, now: Now) -> f64 {
         let compared = |v: &&TargetView| !v.is_evacuated && v.stays(now);
-        let paces = self.views.values().filter(compared).map(TargetView::pace);
+        let paces = self
+            .views
+            .values()
+            .filter(compared)
+            .map(TargetView::slowdown);
         paces.fold(f64::MAX, f64::min)
     }
 
     /// Notes that a target refused a start: it gets none for a while.
-    pub fn refused(&mut self, now: Now, link: SessionId, why: Refused) {
+    pub fn refused(&mut self, now: Now, link: SessionId, why: StartRefusal) {
         if let Some(view) = self.views.get_mut(&link) {
             let pause = match why {
-                Refused::Unwell => UNWELL_PAUSE,
-                Refused::Doubtful => DOUBT_PAUSE,
+                StartRefusal::Unhealthy => UNWELL_PAUSE,
+                StartRefusal::Doubtful => DOUBT_PAUSE,
             };
             view.closed_until = view.closed_until.max(now + pause);
         }
     }
 
     /// Whether a target gets only probes.
-    pub fn is_outcast(&self, now: Now, link: SessionId) -> bool {
+    pub fn is_ejected(&self, now: Now, link: SessionId) -> bool {
         let best_pace = self.best_pace(now);
         self.views
             .get(&link)
-            .is_some_and(|view| view.is_outcast(best_pace))
+            .is_some_and(|view| view.is_ejected(best_pace))
     }
 }
 
 impl TargetView {
     /// Whether it gets only probes: it fails what it starts, or is far slower than the best.
-    fn is_outcast(&self, best_pace: f64) -> bool {
-        self.health.is_set_aside() || self.pace() > TOO_SLOW * best_pace
+    fn is_ejected(&self, best_pace: f64) -> bool {
+        self.health.fails_too_often() || self.slowdown() > TOO_SLOW * best_pace
     }
 
     /// Run time over estimate, averaged.
-    pub fn pace(&self) -> f64 {
-        self.health.pace()
+    pub fn slowdown(&self) -> f64 {
+        self.health.slowdown()
     }
 }
--- a/lib/tests/test_batch_entry.rs
+++ b/lib/tests/test_batch_entry.rs
@@ -17,7 +17,7 @@
 use trestleknot_lib::run_message::{
     AgentIntro, AgentNews, AgentPacket, Order, Packet, PeerIntro, PeerNews, PeerPacket, TargetInfo,
 };
-use trestleknot_lib::target_health::HealthWord;
+use trestleknot_lib::target_health::HealthReport;
 use trestleknot_lib::target_incarnation::TargetIncarnation;
 use trestleknot_lib::timings::Timings;
 
@@ -205,7 +205,7 @@
         clock: 0,
         free: Resources::NONE,
         starts_seen: 0,
-        health: HealthWord::default(),
+        health: HealthReport::default(),
         news: vec![AgentNews::Hello(intro), AgentNews::Target(Some(target))],
     };
     let mut actions = entry.handle(now, EntryEvent::Packet(link, Packet::FromAgent(hello)));
@@ -213,7 +213,7 @@
         clock: 1,
         free,
         starts_seen: 0,
-        health: HealthWord::default(),
+        health: HealthReport::default(),
         news: Vec::new(),
     };
     let event = EntryEvent::Packet(link, Packet::FromAgent(load));
@@ -298,7 +298,7 @@
         clock: 5,
         free: Resources::NONE,
         starts_seen: 0,
-        health: HealthWord::default(),
+        health: HealthReport::default(),
         news: Vec::new(),
     };
     entry.handle(ms(5), EntryEvent::Packet(1, Packet::FromAgent(full)));
@@ -409,7 +409,7 @@
             accelerators: 0,
         },
         starts_seen: u64::from(run),
-        health: HealthWord::default(),
+        health: HealthReport::default(),
         news: vec![AgentNews::NotStarted { key, reason }],
     };
     entry.handle(now, EntryEvent::Packet(1, Packet::FromAgent(packet)))
--- a/lib/tests/test_outward_names.rs
+++ b/lib/tests/test_outward_names.rs
@@ -73,7 +73,7 @@
 };
 use trestleknot_lib::settings::{self, AgentSettings, Checked, EntrySettings};
 use trestleknot_lib::status::{EntryStatus, TargetState, TargetStatus};
-use trestleknot_lib::target_health::HealthWord;
+use trestleknot_lib::target_health::HealthReport;
 use trestleknot_lib::target_incarnation::TargetIncarnation;
 use trestleknot_lib::target_lease::Renewal;
 use trestleknot_lib::telemetry::{Levels, Report, Telemetry};
@@ -565,7 +565,7 @@
         clock: 4_321,
         free: ROOM,
         starts_seen: 11,
-        health: HealthWord {
+        health: HealthReport {
             pace_percent: 130,
             failed_percent: 7,
         },
@@ -1563,7 +1563,7 @@
         let read: Result<PlacementMode, _> = placement.to_string().parse();
         assert_eq!(read.ok(), Some(placement));
     }
-    let (agent, health) = ("agent-1", HealthWord::default());
+    let (agent, health) = ("agent-1", HealthReport::default());
     writeln!(text, "agent={agent} health={health:?}").expect("a string");
     writeln!(text, "{:?}", FleetSecret::new(SECRET)).expect("a string");
     insta::assert_snapshot!(text);
--- a/lib/tests/test_target_health.rs
+++ b/lib/tests/test_target_health.rs
@@ -14,22 +14,22 @@
     let mut health = TargetHealth::default();
     health.run_failed();
     assert!(
-        !health.word().is_set_aside(),
+        !health.word().fails_too_often(),
         "one failure may be the task's"
     );
     health.run_failed();
-    assert!(health.word().is_set_aside());
+    assert!(health.word().fails_too_often());
     for _ in 0..3 {
         health.run_done(1.0);
     }
-    assert!(!health.word().is_set_aside());
+    assert!(!health.word().fails_too_often());
 }
 
 #[test]
 fn test_word_one_batch_with_a_wrong_estimate_says_nothing() {
     let mut health = TargetHealth::default();
     let slow = SlowRun {
-        pace: 12.0,
+        slowdown: 12.0,
         percent: 8,
     };
     for step in 0..10 {
@@ -38,21 +38,21 @@
     assert_eq!(health.word().pace_percent, 100);
     // Another batch's run is slow there as well.
     health.run_slow(ms(200), 2, slow);
-    assert!(health.word().pace() > 2.0);
+    assert!(health.word().slowdown() > 2.0);
 }
 
 #[test]
 fn test_word_standing_run_counts_at_once() {
     let mut health = TargetHealth::default();
     let standing = SlowRun {
-        pace: 30.0,
+        slowdown: 30.0,
         percent: 1,
     };
     health.run_slow(ms(10), 1, standing);
-    assert!(health.word().pace() > 2.6);
+    assert!(health.word().slowdown() > 2.6);
     // Two sound probes bring it back.
     for _ in 0..3 {
         health.run_done(1.0);
     }
-    assert!(health.word().pace() < 2.6);
+    assert!(health.word().slowdown() < 2.6);
 }
--- a/lib/tests/test_target_board.rs
+++ b/lib/tests/test_target_registry.rs
@@ -11,9 +11,9 @@
 use trestleknot_lib::queue::Queue;
 use trestleknot_lib::resources::Resources;
 use trestleknot_lib::run_message::TargetInfo;
-use trestleknot_lib::target_board::{LoadWord, Need, TargetBoard, Verdict};
-use trestleknot_lib::target_health::HealthWord;
+use trestleknot_lib::target_health::HealthReport;
 use trestleknot_lib::target_incarnation::TargetIncarnation;
+use trestleknot_lib::target_registry::{EjectionChange, LoadReport, Need, TargetRegistry};
 
 const BAD: u64 = 1;
 const SOUND: u64 = 2;
@@ -33,8 +33,8 @@
     accelerators: 0,
 };
 
-fn word(health: HealthWord) -> LoadWord {
-    LoadWord {
+fn word(health: HealthReport) -> LoadReport {
+    LoadReport {
         clock: 0,
         free: ALL,
         starts_seen: 1_000,
@@ -42,16 +42,16 @@
     }
 }
 
-fn failing() -> HealthWord {
-    HealthWord {
+fn failing() -> HealthReport {
+    HealthReport {
         pace_percent: 100,
         failed_percent: 60,
     }
 }
 
 /// A board of a target that fails and one that is sound but full.
-fn board() -> TargetBoard {
-    let mut board = TargetBoard::default();
+fn board() -> TargetRegistry {
+    let mut board = TargetRegistry::default();
     for link in [BAD, SOUND] {
         board.join(ms(1), link, format!("agent-{link}").into(), "hall".into());
         let view = board.get_mut(link).expect("it has joined");
@@ -66,9 +66,9 @@
             leaving: false,
         });
     }
-    let full = LoadWord {
+    let full = LoadReport {
         free: Resources::NONE,
-        ..word(HealthWord::default())
+        ..word(HealthReport::default())
     };
     board.heard(ms(1), SOUND, full);
     board
@@ -89,7 +89,7 @@
 }
 
 /// Tasks that the failing target gets in 6 s, if it is tried every 10 ms.
-fn probes(board: &mut TargetBoard) -> u32 {
+fn probes(board: &mut TargetRegistry) -> u32 {
     let queue = queue();
     let hall: HallName = "hall".into();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -117,16 +117,22 @@
 }
 
 #[test]
-fn test_heard_verdict_by_health() {
+fn test_heard_ejection_change_by_health() {
     let mut board = board();
-    assert_eq!(board.heard(ms(2), BAD, word(failing())), Verdict::SetAside);
-    assert_eq!(board.heard(ms(3), BAD, word(failing())), Verdict::Same);
-    let sound = word(HealthWord::default());
-    assert_eq!(board.heard(ms(4), BAD, sound), Verdict::Returned);
+    assert_eq!(
+        board.heard(ms(2), BAD, word(failing())),
+        EjectionChange::Ejected
+    );
+    assert_eq!(
+        board.heard(ms(3), BAD, word(failing())),
+        EjectionChange::Unchanged
+    );
+    let sound = word(HealthReport::default());
+    assert_eq!(board.heard(ms(4), BAD, sound), EjectionChange::Readmitted);
 }
 
 #[test]
-fn test_choose_outcast_gets_probes_only() {
+fn test_choose_ejected_gets_probes_only() {
     assert_eq!(probes(&mut board()), 9);
 }
 
@@ -144,7 +150,7 @@
     let info = board.get(SOUND).and_then(|v| v.info.clone());
     board.get_mut(3).expect("it has joined").info = info;
     let paced = |pace_percent| {
-        word(HealthWord {
+        word(HealthReport {
             pace_percent,
             failed_percent: 0,
         })
@@ -157,7 +163,7 @@
         place: 1,
         halls: [HallName::from("maadi")].into(),
     }));
-    assert!(!board.is_outcast(ms(11), SOUND));
+    assert!(!board.is_ejected(ms(11), SOUND));
     assert_eq!((board.usable(ms(11)), board.reachable(ms(11))), (2, 3));
     let queue = queue();
     let hall: HallName = "hall".into();
