--- a/lib/src/agent_node.rs
+++ b/lib/src/agent_node.rs
@@ -90,7 +90,7 @@
             AgentAction::Send(link, packet) => self.links.send(link, &Packet::FromAgent(packet)),
             AgentAction::Close(link) => self.links.close(link),
             AgentAction::Dial(address) => self.dial(address),
-            AgentAction::HangUp(address) => self.links.hang_up(address),
+            AgentAction::Disconnect(address) => self.links.disconnect(address),
             AgentAction::Start(call) => self.start_run(call),
             AgentAction::Stop {
                 key,
--- a/lib/src/batch_event.rs
+++ b/lib/src/batch_event.rs
@@ -171,7 +171,7 @@
     /// Keep a connection to the entry at this address.
     Dial(SocketAddr),
     /// Keep no connection to the entry at this address any more.
-    HangUp(SocketAddr),
+    Disconnect(SocketAddr),
     /// Write a line to the log.
     Log(LogEvent),
     /// How long a batch took, in milliseconds, and its objective.
--- a/lib/src/entry_directory.rs
+++ b/lib/src/entry_directory.rs
@@ -14,9 +14,9 @@
 use crate::config_search::ConfigSearch;
 use crate::evacuations::{EvacuatedHalls, EvacuationsInForce, Offered};
 use crate::events::{EventCode, LogEvent};
-use crate::homes::{ALL_LINKED, HOMES, HomeStep, Homes};
 use crate::ids::{Now, SessionId};
 use crate::peer_book::PeerBook;
+use crate::preferred_entries::{FULL_MESH_LIMIT, LinkStep, PREFERRED_COUNT, PreferredEntries};
 use crate::queue::{ConfigInForce, ConfigVersion, QueueTable};
 use crate::run::BatchId;
 use crate::run_message::{ClosingBatch, Packet, PeerIntro, PeerNews, PeerPacket};
@@ -58,7 +58,7 @@
     /// When the store answered last.
     store_heard: Option<Now>,
     peers: PeerBook,
-    neighbours: Homes,
+    neighbours: PreferredEntries,
     config_search: ConfigSearch,
     elsewhere: ClosingElsewhere,
     /// Batches that are being closed here.
@@ -69,7 +69,7 @@
 impl EntryDirectory {
     /// Of an entry that knows nothing yet.
     pub fn new(options: Arc<EntryOptions>, closing_bound: Duration) -> Self {
-        let neighbours = Homes::new(&options.name, NEIGHBOURS, Duration::ZERO);
+        let neighbours = PreferredEntries::new(&options.name, NEIGHBOURS, Duration::ZERO);
         Self {
             options,
             closing_bound,
@@ -114,13 +114,13 @@
     }
 
     fn is_large_fleet(&self) -> bool {
-        self.peers.count_known() > ALL_LINKED
+        self.peers.count_known() > FULL_MESH_LIMIT
     }
 
     /// Number of entries that give work to the same target, this one included.
     pub fn entries_a_target(&self) -> usize {
         if self.is_large_fleet() {
-            HOMES
+            PREFERRED_COUNT
         } else {
             self.peers.linked() + 1
         }
@@ -174,16 +174,16 @@
         // Nothing depends on a link between entries.
         for step in self.neighbours.steps(now, |_| false) {
             match step {
-                HomeStep::Dial(address) => self.out.push(EntryAction::Dial(address)),
-                HomeStep::HangUp(address, link) => {
-                    self.out.push(EntryAction::HangUp(address));
+                LinkStep::Dial(address) => self.out.push(EntryAction::Dial(address)),
+                LinkStep::Disconnect(address, link) => {
+                    self.out.push(EntryAction::Disconnect(address));
                     if let Some(link) = link {
                         self.out.push(EntryAction::Close(link));
                         self.link_down(now, link);
                     }
                 }
                 // No work comes over it that a warning would keep away.
-                HomeStep::Part(_) => {}
+                LinkStep::Drain(_) => {}
             }
         }
     }
--- a/lib/src/entry_node.rs
+++ b/lib/src/entry_node.rs
@@ -83,7 +83,7 @@
             EntryAction::Send(link, packet) => self.links.send(link, &packet),
             EntryAction::Close(link) => self.links.close(link),
             EntryAction::Dial(address) => self.dial(address),
-            EntryAction::HangUp(address) => self.links.hang_up(address),
+            EntryAction::Disconnect(address) => self.links.disconnect(address),
             EntryAction::Log(event) => self.log(event),
             EntryAction::Measured(took_ms, _) => {
                 self.figures.response(Duration::from_millis(took_ms));
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -14,7 +14,7 @@
 //!
 //! - words: [`clock`], [`resources`], [`run`], [`queue`], [`batch`], [`payload`], [`run_message`];
 //! - state: [`answer_time`], [`payload_cache`], [`entry_search`], [`run_book`], [`target_lease`], [`room_shares`], [`room_forecast`], [`entry_leases`],
-//!   [`homes`], [`evacuations`], [`link_pace`], [`crash_suspects`], [`batch_table`], [`target_registry`], [`peer_book`], [`closing_elsewhere`], [`config_search`], [`early_batches`],
+//!   [`preferred_entries`], [`evacuations`], [`link_pace`], [`crash_suspects`], [`batch_table`], [`target_registry`], [`peer_book`], [`closing_elsewhere`], [`config_search`], [`early_batches`],
 //!   [`entry_directory`], [`entry_drain`];
 //! - the cores: [`batch_entry`] and [`run_agent`], with what they are told and want done in
 //!   [`batch_event`] and [`run_event`], and the choice of targets in [`batch_placing`];
@@ -66,7 +66,6 @@
 pub mod frame_order;
 pub mod health;
 pub mod held_batch;
-pub mod homes;
 pub mod http_answer;
 pub mod http_api;
 pub mod http_platform;
@@ -95,6 +94,7 @@
 pub mod platform;
 pub mod platform_ports;
 pub mod platform_thread;
+pub mod preferred_entries;
 pub mod queue;
 pub mod quota;
 pub mod request_story;
--- a/lib/src/node_links.rs
+++ b/lib/src/node_links.rs
@@ -124,7 +124,7 @@
     }
 
     /// Keeps no connection to an address any more. A link that stands is closed by its number.
-    pub fn hang_up(&self, address: SocketAddr) {
+    pub fn disconnect(&self, address: SocketAddr) {
         self.dialled.borrow_mut().remove(&address);
     }
 
--- a/lib/src/homes.rs
+++ b/lib/src/preferred_entries.rs
@@ -18,10 +18,10 @@
 use crate::ids::{Now, SessionId};
 
 /// Fleets of up to so many entries: everybody links to everybody.
-pub const ALL_LINKED: usize = 12;
+pub const FULL_MESH_LIMIT: usize = 12;
 /// Links that an agent keeps in larger ones. With half of the entries gone, one target in 4,000 has
 /// no living home.
-pub const HOMES: usize = 12;
+pub const PREFERRED_COUNT: usize = 12;
 /// A home that was linked is waited for this long before another entry takes its place: a process
 /// that is started again is back within it.
 const WAIT_FOR_LOST: Duration = Duration::from_millis(1_000);
@@ -51,7 +51,7 @@
     /// Linked.
     Linked { link: SessionId },
     /// Linked, but told that it is to send no more work; given up then at the earliest.
-    Parting { link: SessionId, until: Now },
+    Draining { link: SessionId, until: Now },
 }
 
 #[derive(Debug)]
@@ -74,18 +74,18 @@
 
 /// What is to be done about links.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum HomeStep {
+pub enum LinkStep {
     /// Keep a connection to this address from now on.
     Dial(SocketAddr),
     /// Keep none any more, and close the link if there is one.
-    HangUp(SocketAddr, Option<SessionId>),
+    Disconnect(SocketAddr, Option<SessionId>),
     /// Tell the entry behind this link that it gets no more work.
-    Part(SessionId),
+    Drain(SessionId),
 }
 
 /// See the module.
 #[derive(Debug)]
-pub struct Homes {
+pub struct PreferredEntries {
     /// Name of the process.
     name: Box<str>,
     /// Links that are wanted.
@@ -99,7 +99,7 @@
     part_for: Duration,
 }
 
-impl Homes {
+impl PreferredEntries {
     /// Of a process that knows no entries and wants so many links. A link that is given up stays for
     /// `part_for` after its entry was told: no order may be on its way longer than that.
     pub fn new(name: &str, wanted: usize, part_for: Duration) -> Self {
@@ -149,7 +149,7 @@
                     let missing_at = now + WAIT_FOR_LOST;
                     known.standing = Standing::Dialled { missing_at };
                 }
-                Standing::Parting { link: l, .. } if l == link => {
+                Standing::Draining { link: l, .. } if l == link => {
                     // It is still dialled; the next step hangs up.
                     known.standing = Standing::Dialled { missing_at: now };
                 }
@@ -159,12 +159,12 @@
     }
 
     /// What is to be done now. `is_needed` says whether runs depend on a link.
-    pub fn steps(&mut self, now: Now, is_needed: impl Fn(SessionId) -> bool) -> Vec<HomeStep> {
+    pub fn steps(&mut self, now: Now, is_needed: impl Fn(SessionId) -> bool) -> Vec<LinkStep> {
         let mut steps = Vec::new();
         if self.look_at.is_none_or(|at| at > now) {
             return steps;
         }
-        if self.known.len() <= ALL_LINKED {
+        if self.known.len() <= FULL_MESH_LIMIT {
             self.dial_all(now, &mut steps);
             self.look_at = None;
             return steps;
@@ -177,7 +177,7 @@
         steps
     }
 
-    /// When [`Homes::steps`] has something to do next, unless something is told before.
+    /// When [`PreferredEntries::steps`] has something to do next, unless something is told before.
     pub fn next_wake(&self) -> Option<Now> {
         self.look_at
     }
@@ -191,25 +191,25 @@
                 Standing::Idle { retry_at } => Some(retry_at).filter(|_| known.rank <= last_wanted),
                 Standing::Dialled { missing_at } => Some(missing_at),
                 Standing::Linked { .. } => None,
-                Standing::Parting { until, .. } => Some(until),
+                Standing::Draining { until, .. } => Some(until),
             });
         let surplus = self.surplus_since.map(|since| since + KEEP_SURPLUS);
         times.chain(surplus).min()
     }
 
     /// In a small fleet every address is dialled for good.
-    fn dial_all(&mut self, now: Now, steps: &mut Vec<HomeStep>) {
+    fn dial_all(&mut self, now: Now, steps: &mut Vec<LinkStep>) {
         for (address, known) in &mut self.known {
             if let Standing::Idle { .. } = known.standing {
                 known.standing = Standing::Dialled {
                     missing_at: now + WAIT_FOR_DIALLED,
                 };
-                steps.push(HomeStep::Dial(*address));
+                steps.push(LinkStep::Dial(*address));
             }
         }
     }
 
-    fn give_up_missing(&mut self, now: Now, steps: &mut Vec<HomeStep>) {
+    fn give_up_missing(&mut self, now: Now, steps: &mut Vec<LinkStep>) {
         for (address, known) in &mut self.known {
             let Standing::Dialled { missing_at } = known.standing else {
                 continue;
@@ -220,7 +220,7 @@
                 known.standing = Standing::Idle {
                     retry_at: now + pause,
                 };
-                steps.push(HomeStep::HangUp(*address, None));
+                steps.push(LinkStep::Disconnect(*address, None));
             }
         }
     }
@@ -229,10 +229,10 @@
         &mut self,
         now: Now,
         is_needed: impl Fn(SessionId) -> bool,
-        steps: &mut Vec<HomeStep>,
+        steps: &mut Vec<LinkStep>,
     ) {
         for (address, known) in &mut self.known {
-            let Standing::Parting { link, until } = known.standing else {
+            let Standing::Draining { link, until } = known.standing else {
                 continue;
             };
             if until > now {
@@ -240,10 +240,10 @@
             }
             if is_needed(link) {
                 let until = now + LOOK_AGAIN;
-                known.standing = Standing::Parting { link, until };
+                known.standing = Standing::Draining { link, until };
             } else {
                 known.standing = Standing::Idle { retry_at: now };
-                steps.push(HomeStep::HangUp(*address, Some(link)));
+                steps.push(LinkStep::Disconnect(*address, Some(link)));
             }
         }
     }
@@ -276,7 +276,7 @@
     /// Dials the homes that are not linked, and others for as many as are missing. Those that have
     /// waited longest go first, or addresses that nobody answers at would keep the rest from being
     /// tried.
-    fn dial_ranked(&mut self, now: Now, steps: &mut Vec<HomeStep>) {
+    fn dial_ranked(&mut self, now: Now, steps: &mut Vec<LinkStep>) {
         let mut due: Vec<(Now, Rank, SocketAddr)> = Vec::new();
         for (address, known) in &self.known {
             if let Standing::Idle { retry_at } = known.standing
@@ -297,12 +297,12 @@
                 let missing_at = now + WAIT_FOR_DIALLED;
                 known.standing = Standing::Dialled { missing_at };
             }
-            steps.push(HomeStep::Dial(address));
+            steps.push(LinkStep::Dial(address));
         }
     }
 
     /// Gives up the last in rank of more links than wanted, once that has stood for a while.
-    fn part_with_surplus(&mut self, now: Now, steps: &mut Vec<HomeStep>) {
+    fn part_with_surplus(&mut self, now: Now, steps: &mut Vec<LinkStep>) {
         let linked = self.count(Known::is_linked);
         if linked <= self.wanted {
             self.surplus_since = None;
@@ -323,9 +323,9 @@
         for (_, address, link) in links.split_off(self.wanted) {
             if let Some(known) = self.known.get_mut(&address) {
                 let until = now + self.part_for;
-                known.standing = Standing::Parting { link, until };
+                known.standing = Standing::Draining { link, until };
             }
-            steps.push(HomeStep::Part(link));
+            steps.push(LinkStep::Drain(link));
         }
     }
 }
--- a/lib/src/run_agent.rs
+++ b/lib/src/run_agent.rs
@@ -18,10 +18,10 @@
 use crate::entry_search::EntrySearch;
 use crate::evacuations::{EvacuationWatch, EvacuationsInForce};
 use crate::events::{EventCode, LogEvent};
-use crate::homes::{HOMES, HomeStep, Homes};
 use crate::ids::{Incarnation, Now, SessionId};
 use crate::payload::PayloadUnpacker;
 use crate::payload_cache::PayloadCache;
+use crate::preferred_entries::{LinkStep, PREFERRED_COUNT, PreferredEntries};
 use crate::resources::Resources;
 use crate::room_shares::Room;
 use crate::run::{RunEnd, RunKey};
@@ -62,7 +62,7 @@
     early_claims: Vec<(Incarnation, RunKey, Resources)>,
     /// Stops that came before the lists were read, each with its entry's life.
     early_stops: Vec<(Incarnation, RunKey)>,
-    homes: Homes,
+    preferred: PreferredEntries,
     search: EntrySearch,
     unpacker: PayloadUnpacker,
     payloads: PayloadCache,
@@ -91,7 +91,11 @@
             knows_lists: false,
             early_claims: Vec::new(),
             early_stops: Vec::new(),
-            homes: Homes::new(&options.name, HOMES, options.timings.start_window),
+            preferred: PreferredEntries::new(
+                &options.name,
+                PREFERRED_COUNT,
+                options.timings.start_window,
+            ),
             search: EntrySearch::new(now),
             unpacker: PayloadUnpacker::default(),
             payloads: PayloadCache::default(),
@@ -138,7 +142,7 @@
                 .next_wake()
                 .filter(|_| self.draining_since.is_none()),
             // A process that stops changes no links any more.
-            self.homes
+            self.preferred
                 .next_wake()
                 .filter(|_| self.draining_since.is_none()),
         ];
@@ -183,7 +187,7 @@
                     self.link_down(link);
                 }
                 let seeds = self.options.seeds.iter().copied();
-                self.homes.learn(self.now, seeds);
+                self.preferred.learn(self.now, seeds);
             }
             AgentEvent::LinkUp(link, address) => self.link_up(link, address),
             AgentEvent::LinkDown(link) => self.link_down(link),
@@ -195,7 +199,7 @@
             }
             AgentEvent::RenewalAnswered { number, answer } => self.renewal_answered(number, answer),
             AgentEvent::IncarnationChecked { number, answer } => self.life_answered(number, answer),
-            AgentEvent::Entries(entries) => self.homes.learn(self.now, entries),
+            AgentEvent::Entries(entries) => self.preferred.learn(self.now, entries),
             AgentEvent::Evacuations(answer) => self.evacuations_answered(answer),
             AgentEvent::Resumed(suspended) => self.resumed(suspended),
             AgentEvent::Drain => self.drain(),
@@ -225,7 +229,7 @@
     // Entries.
 
     fn link_up(&mut self, link: SessionId, address: SocketAddr) {
-        self.homes.link_up(self.now, address, link);
+        self.preferred.link_up(self.now, address, link);
         self.entries.opened(self.now, link);
         let intro = AgentIntro {
             name: self.options.name.clone(),
@@ -243,7 +247,7 @@
     }
 
     fn link_down(&mut self, link: SessionId) {
-        self.homes.link_down(self.now, link);
+        self.preferred.link_down(self.now, link);
         self.payloads.forget(link);
         let Some(gone) = self.entries.closed(self.now, link) else {
             return;
@@ -275,11 +279,11 @@
             let entry = entries.get(link).and_then(|l| l.entry);
             entry.is_some() && book.iter().any(|(_, run)| run.owner == entry)
         };
-        for step in self.homes.steps(self.now, is_needed) {
+        for step in self.preferred.steps(self.now, is_needed) {
             match step {
-                HomeStep::Dial(address) => self.out.push(AgentAction::Dial(address)),
-                HomeStep::Part(link) => self.part(link),
-                HomeStep::HangUp(address, link) => self.hang_up(address, link),
+                LinkStep::Dial(address) => self.out.push(AgentAction::Dial(address)),
+                LinkStep::Drain(link) => self.part(link),
+                LinkStep::Disconnect(address, link) => self.disconnect(address, link),
             }
         }
     }
@@ -290,8 +294,8 @@
         }
     }
 
-    fn hang_up(&mut self, address: SocketAddr, link: Option<SessionId>) {
-        self.out.push(AgentAction::HangUp(address));
+    fn disconnect(&mut self, address: SocketAddr, link: Option<SessionId>) {
+        self.out.push(AgentAction::Disconnect(address));
         let Some(link) = link else {
             return;
         };
@@ -323,7 +327,7 @@
                 Order::Welcome(welcome) => self.welcomed(welcome),
                 Order::Start(order) => self.start_ordered(link, order),
                 Order::Stop(keys) => self.stop_ordered(link, keys),
-                Order::Entries(entries) => self.homes.learn(self.now, entries),
+                Order::Entries(entries) => self.preferred.learn(self.now, entries),
                 Order::Evacuations(state) => self.offer_evacuations(&state, "entry"),
             }
         }
@@ -343,7 +347,7 @@
             EventCode::EntryJoined,
             format!("entry={name} life={life:x} claims={count}"),
         );
-        self.homes.learn(self.now, entries);
+        self.preferred.learn(self.now, entries);
         self.offer_evacuations(&evacuations, "entry");
         self.stop_unclaimed(life, &claims);
         for (key, size) in claims {
--- a/lib/src/run_event.rs
+++ b/lib/src/run_event.rs
@@ -194,7 +194,7 @@
     /// Keep a connection to the entry at this address.
     Dial(SocketAddr),
     /// Keep no connection to the entry at this address any more.
-    HangUp(SocketAddr),
+    Disconnect(SocketAddr),
     /// Start a run.
     Start(StartCall),
     /// Stop a run. No answer is expected: the end will be listed.
--- a/lib/tests/test_outward_names.rs
+++ b/lib/tests/test_outward_names.rs
@@ -39,7 +39,6 @@
 use trestleknot_lib::evacuations::EvacuatedHalls;
 use trestleknot_lib::events::{CATALOGUE, EventCode};
 use trestleknot_lib::figures::Figures;
-use trestleknot_lib::homes::{HOMES, HomeStep, Homes};
 use trestleknot_lib::http_answer::{NEXT_PERMIT, response_for};
 use trestleknot_lib::http_api::{
     BodyLimit, Gateway, WorkerRings, caller_routes, hash_key, operator_routes,
@@ -62,6 +61,7 @@
 use trestleknot_lib::platform_ports::{
     EntryRegistry, OperatorFeed, OperatorNews, PortResult, TargetPort,
 };
+use trestleknot_lib::preferred_entries::{LinkStep, PREFERRED_COUNT, PreferredEntries};
 use trestleknot_lib::queue::{Queue, QueueTable, RequestLimits};
 use trestleknot_lib::resources::Resources;
 use trestleknot_lib::ring::{TaskWaker, ring};
@@ -1685,14 +1685,14 @@
 fn test_steps_ranked_homes() {
     let mut text = String::new();
     for name in ["agent-1", "agent-2", "entry-1"] {
-        let mut homes = Homes::new(name, HOMES, ms(500));
+        let mut homes = PreferredEntries::new(name, PREFERRED_COUNT, ms(500));
         homes.learn(Now::ZERO, (1..=30).map(address));
         homes.learn(Now::ZERO, [six()]);
         let dialled = homes.steps(Now::ZERO, |_| false);
         let dialled: Vec<String> = dialled
             .iter()
             .map(|step| match step {
-                HomeStep::Dial(address) => address.to_string(),
+                LinkStep::Dial(address) => address.to_string(),
                 other => panic!("{other:?} at the start"),
             })
             .collect();
--- a/lib/tests/test_homes.rs
+++ b/lib/tests/test_preferred_entries.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use trestleknot_lib::homes::{HOMES, HomeStep, Homes};
 use trestleknot_lib::ids::{Now, SessionId};
+use trestleknot_lib::preferred_entries::{LinkStep, PREFERRED_COUNT, PreferredEntries};
 
 const PART_FOR: Duration = Duration::from_millis(500);
 
@@ -21,7 +21,7 @@
 /// An agent's choice among entries that live or not, on a clock of its own.
 struct Play {
     now: Now,
-    homes: Homes,
+    preferred: PreferredEntries,
     dialled: Vec<SocketAddr>,
     links: BTreeMap<SocketAddr, SessionId>,
     parted: Vec<SessionId>,
@@ -33,11 +33,11 @@
 
 impl Play {
     fn new(agent: &str, entries: usize) -> Self {
-        let mut homes = Homes::new(agent, HOMES, PART_FOR);
-        homes.learn(Now::ZERO, (0..entries).map(address));
+        let mut preferred = PreferredEntries::new(agent, PREFERRED_COUNT, PART_FOR);
+        preferred.learn(Now::ZERO, (0..entries).map(address));
         Self {
             now: Now::ZERO,
-            homes,
+            preferred,
             dialled: Vec::new(),
             links: BTreeMap::new(),
             parted: Vec::new(),
@@ -59,20 +59,23 @@
 
     fn step(&mut self) {
         let needed = self.needed.clone();
-        for step in self.homes.steps(self.now, |link| needed.contains(&link)) {
+        for step in self
+            .preferred
+            .steps(self.now, |link| needed.contains(&link))
+        {
             match step {
-                HomeStep::Dial(a) => {
+                LinkStep::Dial(a) => {
                     self.dials += 1;
                     self.dialled.push(a);
                 }
-                HomeStep::HangUp(a, link) => {
+                LinkStep::Disconnect(a, link) => {
                     self.dialled.retain(|d| *d != a);
                     if let Some(link) = link {
                         assert!(!self.needed.contains(&link), "runs depended on {link}");
                         self.links.retain(|_, l| *l != link);
                     }
                 }
-                HomeStep::Part(link) => self.parted.push(link),
+                LinkStep::Drain(link) => self.parted.push(link),
             }
         }
         for entry in 0..self.alive.len() {
@@ -80,13 +83,13 @@
             let is_up = self.alive[entry] && self.dialled.contains(&a);
             match (is_up, self.links.get(&a).copied()) {
                 (true, None) => {
-                    self.homes.link_up(self.now, a, self.next_link);
+                    self.preferred.link_up(self.now, a, self.next_link);
                     self.links.insert(a, self.next_link);
                     self.next_link += 1;
                 }
                 (false, Some(link)) if !self.alive[entry] => {
                     self.links.remove(&a);
-                    self.homes.link_down(self.now, link);
+                    self.preferred.link_down(self.now, link);
                 }
                 _ => {}
             }
@@ -95,12 +98,12 @@
 }
 
 #[test]
-fn test_steps_small_fleet_links_to_all_and_hangs_up_on_none() {
-    let mut play = Play::new("agent", HOMES);
+fn test_steps_small_fleet_links_to_all_and_disconnects_none() {
+    let mut play = Play::new("agent", PREFERRED_COUNT);
     play.alive[3] = false;
     play.run(ms(20_000));
-    assert_eq!(play.dialled.len(), HOMES);
-    assert_eq!(play.links.len(), HOMES - 1);
+    assert_eq!(play.dialled.len(), PREFERRED_COUNT);
+    assert_eq!(play.links.len(), PREFERRED_COUNT - 1);
 }
 
 #[test]
@@ -109,8 +112,8 @@
     for agent in 0..240 {
         let mut play = Play::new(&format!("agent-{agent}"), 55);
         play.run(ms(1_000));
-        assert_eq!(play.links.len(), HOMES);
-        assert_eq!(play.dials, HOMES);
+        assert_eq!(play.links.len(), PREFERRED_COUNT);
+        assert_eq!(play.dials, PREFERRED_COUNT);
         for (entry, links) in links_of.iter_mut().enumerate() {
             *links += usize::from(play.links.contains_key(&address(entry)));
         }
@@ -121,16 +124,20 @@
 }
 
 #[test]
-fn test_steps_lost_home_is_replaced_and_comes_back() {
+fn test_steps_lost_preferred_entry_is_replaced_and_comes_back() {
     let mut play = Play::new("agent", 55);
     play.run(ms(1_000));
     let before: Vec<SocketAddr> = play.links.keys().copied().collect();
     let lost = (0..55).find(|e| before.contains(&address(*e))).unwrap_or(0);
     play.alive[lost] = false;
     play.run(ms(900));
-    assert_eq!(play.links.len(), HOMES - 1, "it may be back at once");
+    assert_eq!(
+        play.links.len(),
+        PREFERRED_COUNT - 1,
+        "it may be back at once"
+    );
     play.run(ms(600));
-    assert_eq!(play.links.len(), HOMES, "another takes its place");
+    assert_eq!(play.links.len(), PREFERRED_COUNT, "another takes its place");
     play.alive[lost] = true;
     play.run(ms(1_500));
     assert!(
@@ -148,10 +155,11 @@
     for agent in 0..240 {
         let mut play = Play::new(&format!("agent-{agent}"), 56);
         let newcomer = address(55);
-        play.homes = Homes::new(&format!("agent-{agent}"), HOMES, PART_FOR);
-        play.homes.learn(Now::ZERO, (0..55).map(address));
+        play.preferred =
+            PreferredEntries::new(&format!("agent-{agent}"), PREFERRED_COUNT, PART_FOR);
+        play.preferred.learn(Now::ZERO, (0..55).map(address));
         play.run(ms(1_000));
-        play.homes.learn(play.now, [newcomer]);
+        play.preferred.learn(play.now, [newcomer]);
         play.run(ms(100));
         found += usize::from(play.links.contains_key(&newcomer));
     }
@@ -169,11 +177,11 @@
     play.needed = play.links.values().copied().collect();
     play.alive[lost] = true;
     play.run(ms(8_000));
-    assert_eq!(play.links.len(), HOMES + 1);
+    assert_eq!(play.links.len(), PREFERRED_COUNT + 1);
     assert_eq!(play.parted.len(), 1, "it was told once");
     play.needed.clear();
     play.run(ms(500));
-    assert_eq!(play.links.len(), HOMES);
+    assert_eq!(play.links.len(), PREFERRED_COUNT);
 }
 
 proptest! {
@@ -190,15 +198,15 @@
             let entry = entry % entries;
             play.alive[entry] = lives;
             play.run(ms(pause));
-            prop_assert!(play.dialled.len() <= 3 * HOMES);
+            prop_assert!(play.dialled.len() <= 3 * PREFERRED_COUNT);
         }
         play.alive.copy_from_slice(&survivors[..entries]);
         let living = play.alive.iter().filter(|a| **a).count();
         // Every address that is long gone is tried every 3 s.
         play.run(ms(8_000));
         let linked = play.links.len();
-        prop_assert!(linked >= living.min(HOMES), "{linked} links, {living} entries live");
-        let most = if entries <= HOMES { entries } else { HOMES };
+        prop_assert!(linked >= living.min(PREFERRED_COUNT), "{linked} links, {living} entries live");
+        let most = if entries <= PREFERRED_COUNT { entries } else { PREFERRED_COUNT };
         prop_assert!(linked <= most, "{linked} links");
     }
 }
--- a/lib/tests/test_run_agent/main.rs
+++ b/lib/tests/test_run_agent/main.rs
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn test_next_wake_draining_agent_does_not_wait_for_homes() {
+fn test_next_wake_draining_agent_does_not_wait_for_preferred_entries() {
     // More entries than homes are known, none answers, and the agent stops while a run goes on.
     let mut agent = ready_agent();
     let entries = (10..40).map(address).collect();
--- a/lib/tests/test_run_fleet.rs
+++ b/lib/tests/test_run_fleet.rs
@@ -6,8 +6,8 @@
 use rand_chacha::ChaCha8Rng;
 use testutils::run_fleet::{AGENTS, ENTRIES, FleetShape, Node, RunFleet, Strike};
 use testutils::run_target::TargetTrouble;
-use trestleknot_lib::homes::HOMES;
 use trestleknot_lib::ids::Now;
+use trestleknot_lib::preferred_entries::PREFERRED_COUNT;
 use trestleknot_lib::timings::PlatformBounds;
 
 const fn ms(millis: u64) -> Now {
@@ -361,9 +361,9 @@
 }
 
 #[test]
-fn test_run_until_more_entries_than_homes_keep_promises() {
+fn test_run_until_more_entries_than_preferred_entries_keep_promises() {
     // Agents choose among the entries, move links as these come and go, and give surplus links up.
-    let entries = 2 * HOMES;
+    let entries = 2 * PREFERRED_COUNT;
     let mut served = Vec::new();
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(5_000 + seed);
--- a/lib/testutils/src/run_fleet.rs
+++ b/lib/testutils/src/run_fleet.rs
@@ -521,7 +521,7 @@
                     self.keep_dialled(Node::Entry(i), address);
                 }
             }
-            EntryAction::HangUp(address) => self.hang_up(Node::Entry(i), address),
+            EntryAction::Disconnect(address) => self.disconnect(Node::Entry(i), address),
             EntryAction::Measured(..) => {}
         }
     }
@@ -556,7 +556,7 @@
             }
             AgentAction::Close(link) => self.close(Node::Agent(i), link),
             AgentAction::Dial(address) => self.keep_dialled(Node::Agent(i), address),
-            AgentAction::HangUp(address) => self.hang_up(Node::Agent(i), address),
+            AgentAction::Disconnect(address) => self.disconnect(Node::Agent(i), address),
             AgentAction::AskEvacuations => self.ask_store(i),
             AgentAction::AskEntries => self.ask_registry(i),
             AgentAction::Start(call) => self.order_start(i, call),
--- a/lib/testutils/src/run_fleet/links.rs
+++ b/lib/testutils/src/run_fleet/links.rs
@@ -74,7 +74,7 @@
     }
 
     /// Keeps it no more.
-    pub(super) fn hang_up(&mut self, node: Node, address: SocketAddr) {
+    pub(super) fn disconnect(&mut self, node: Node, address: SocketAddr) {
         self.dialled.entry(node).or_default().remove(&address);
     }
 
