--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -13,7 +13,7 @@
 use crate::job::{TaskOutcome, TaskSpec};
 use crate::ledger::DispatchLedger;
 use crate::message::{AgentMessage, Capacity, EntryMessage, Frame};
-use crate::outbox::Links;
+use crate::outbox::Outboxes;
 use crate::permit::Registrar;
 use crate::slot_book::SlotBook;
 
@@ -159,7 +159,7 @@
     pub(crate) options: AgentOptions,
     pub(crate) now: Now,
     pub(crate) out: Vec<AgentAction>,
-    pub(crate) links: Links<AgentMessage, EntryLink>,
+    pub(crate) links: Outboxes<AgentMessage, EntryLink>,
     pub(crate) sessions: BTreeMap<Incarnation, SessionId>,
     pub(crate) ledger: DispatchLedger,
     pub(crate) slots: SlotBook,
@@ -190,7 +190,7 @@
             slots: SlotBook::new(options.capacity.slots),
             now: Now::ZERO,
             out: Vec::new(),
-            links: Links::default(),
+            links: Outboxes::default(),
             sessions: BTreeMap::new(),
             ledger: DispatchLedger::default(),
             registrar: Registrar::default(),
--- a/lib/src/agent_daemon.rs
+++ b/lib/src/agent_daemon.rs
@@ -20,11 +20,13 @@
 use crate::events::{EventCode, LogEvent};
 use crate::http_platform::HttpTarget;
 use crate::ids::Incarnation;
-use crate::links::{self, LinkCommand, LinkEvent, LinkTraffic, Links, Manners};
 use crate::message::{AgentMessage, Capacity, EntryMessage};
 use crate::permit::FleetSecret;
 use crate::platform::TargetService;
 use crate::ring::{RingRx, RingTx, TaskWaker, ring};
+use crate::session_links::{
+    self, HandshakeConfig, LinkCommand, LinkEvent, LinkTraffic, SessionLinks,
+};
 use crate::settings::AgentSettings;
 use crate::telemetry::{Levels, Report, Telemetry, TelemetryParts};
 use crate::trace::{SpanRecord, TraceContext};
@@ -138,19 +140,20 @@
         let link_waker = TaskWaker::default();
         let (link_tx, link_rx) = ring(OUT_RING, Arc::new(link_waker.clone()));
         threads.push(spawn("links", move || {
-            let served = links::run_local(async move {
-                let manners = Manners {
+            let served = session_links::run_local(async move {
+                let manners = HandshakeConfig {
                     our_first: None,
                     await_first: false,
                     path: AGENT_PATH,
                 };
-                let links: Rc<Links<AgentMessage, EntryMessage, AgentInput>> = Links::new(
-                    secret,
-                    manners,
-                    entry_events,
-                    AgentInput::Entry,
-                    links_traffic,
-                );
+                let links: Rc<SessionLinks<AgentMessage, EntryMessage, AgentInput>> =
+                    SessionLinks::new(
+                        secret,
+                        manners,
+                        entry_events,
+                        AgentInput::Entry,
+                        links_traffic,
+                    );
                 links.serve(link_rx, link_waker).await;
                 tokio::time::sleep(LAST_WORDS).await;
             });
--- a/lib/src/batch_entry.rs
+++ b/lib/src/batch_entry.rs
@@ -23,7 +23,7 @@
 use crate::entry_drain::EntryDrain;
 use crate::events::{EventCode, LogEvent};
 use crate::ids::{NodeName, Now, SessionId};
-use crate::link_pace::LinkPace;
+use crate::link_load::LinkLoad;
 use crate::payload::PayloadPacker;
 use crate::room_forecast::RoomForecast;
 use crate::run::{BatchId, RunKey};
@@ -70,7 +70,7 @@
     usual_patience: UsualPatience,
     standing: StandingQueue,
     forecast: RoomForecast,
-    link: LinkPace,
+    link: LinkLoad,
     /// When a task last found no target with room.
     lacked_room: Option<Now>,
     /// When the link has room again for what waits.
@@ -98,7 +98,7 @@
             usual_patience: UsualPatience::default(),
             standing: StandingQueue::default(),
             forecast: RoomForecast::default(),
-            link: LinkPace::new(options.link_rate),
+            link: LinkLoad::new(options.link_rate),
             lacked_room: None,
             link_full_until: None,
             packer: PayloadPacker::default(),
--- a/lib/src/batch_event.rs
+++ b/lib/src/batch_event.rs
@@ -11,7 +11,7 @@
 use crate::evacuations::EvacuatedHalls;
 use crate::events::LogEvent;
 use crate::ids::{HallName, Incarnation, NodeName, RequestId, SessionId};
-use crate::link_pace::ByteRate;
+use crate::link_load::ByteRate;
 use crate::queue::QueueTable;
 use crate::run::BatchId;
 use crate::run_message::Packet;
--- a/lib/src/batch_placing.rs
+++ b/lib/src/batch_placing.rs
@@ -14,7 +14,7 @@
 use crate::crash_suspects::CrashRecord;
 use crate::held_batch::{Batch, TaskState};
 use crate::ids::{HallName, NodeName, Now, SessionId};
-use crate::link_pace::LinkPace;
+use crate::link_load::LinkLoad;
 use crate::run::{BatchId, RunKey, RunNumber, TaskKey};
 use crate::run_message::START_BYTES;
 use crate::target_registry::{Need, TargetRegistry, TargetView};
@@ -64,7 +64,7 @@
     /// The targets.
     pub targets: &'a mut TargetRegistry,
     /// The entry's own link.
-    pub link: &'a mut LinkPace,
+    pub link: &'a mut LinkLoad,
     /// Chance.
     pub rng: &'a mut ChaCha8Rng,
     /// What was placed.
--- a/lib/src/config_search.rs
+++ b/lib/src/config_fetch.rs
@@ -18,13 +18,13 @@
 
 /// See the module.
 #[derive(Debug, Default)]
-pub struct ConfigSearch {
+pub struct ConfigFetch {
     /// Neighbours with what each holds, in the order in which they are asked.
     holders: VecDeque<(SessionId, ConfigVersion)>,
     ask_at: Option<Now>,
 }
 
-impl ConfigSearch {
+impl ConfigFetch {
     /// Notes that a neighbour holds a version newer than the own one, which is 0 if there is none.
     pub fn heard(&mut self, now: Now, link: SessionId, version: ConfigVersion, own: ConfigVersion) {
         self.forget(link);
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -22,7 +22,7 @@
 use crate::job_table::JobTable;
 use crate::journal::{Journal, Story};
 use crate::message::{AgentHello, AgentMessage, EntryMessage, Frame, PeerHello, PeerMessage};
-use crate::outbox::{AgentLinks, PeerLinks};
+use crate::outbox::{AgentOutboxes, PeerOutboxes};
 use crate::permit::{FleetSecret, PermitId};
 use crate::placement::{Placement, PlacementMode};
 use crate::quota::Quotas;
@@ -260,8 +260,8 @@
     pub(crate) now: Now,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) out: Vec<EntryAction>,
-    pub(crate) agents: AgentLinks,
-    pub(crate) peers: PeerLinks,
+    pub(crate) agents: AgentOutboxes,
+    pub(crate) peers: PeerOutboxes,
     pub(crate) targets: TargetTable,
     pub(crate) jobs: JobTable,
     pub(crate) next_job: JobSeq,
@@ -289,8 +289,8 @@
             rng: ChaCha8Rng::seed_from_u64(options.seed ^ options.incarnation),
             now: Now::ZERO,
             out: Vec::new(),
-            agents: AgentLinks::default(),
-            peers: PeerLinks::default(),
+            agents: AgentOutboxes::default(),
+            peers: PeerOutboxes::default(),
             targets: TargetTable::default(),
             jobs: JobTable::default(),
             next_job: 1,
--- a/lib/src/entry_daemon.rs
+++ b/lib/src/entry_daemon.rs
@@ -22,12 +22,12 @@
 use crate::events::{EventCode, LogEvent};
 use crate::http_api::{RingPool, WorkerRings};
 use crate::ids::Incarnation;
-use crate::links::{self, LinkCommand, LinkTraffic};
 use crate::message::{EntryMessage, PROTOCOL_VERSION, PeerHello, PeerMessage};
 use crate::permit::FleetSecret;
 use crate::placement::PlacementMode;
 use crate::platform_thread::{Platform, PlatformCommand, serve_platform};
 use crate::ring::{RingRx, RingTx, TaskWaker, ring};
+use crate::session_links::{self, LinkCommand, LinkTraffic};
 use crate::settings::EntrySettings;
 use crate::telemetry::{MetricsPage, Report, Telemetry, TelemetryParts};
 use crate::worker_threads::{
@@ -327,7 +327,7 @@
         traffic: traffic.clone(),
     };
     let thread = spawn("links", move || {
-        if let Err(e) = links::run_local(parts.serve()) {
+        if let Err(e) = session_links::run_local(parts.serve()) {
             log::error!("links can't be served: {e}");
         }
     })?;
--- a/lib/src/entry_directory.rs
+++ b/lib/src/entry_directory.rs
@@ -11,7 +11,7 @@
 
 use crate::batch_event::{EntryAction, EntryOptions};
 use crate::closing_elsewhere::ClosingElsewhere;
-use crate::config_search::ConfigSearch;
+use crate::config_fetch::ConfigFetch;
 use crate::evacuations::{EvacuatedHalls, EvacuationsInForce, Offered};
 use crate::events::{EventCode, LogEvent};
 use crate::ids::{Now, SessionId};
@@ -59,7 +59,7 @@
     store_heard: Option<Now>,
     peers: PeerBook,
     neighbours: PreferredEntries,
-    config_search: ConfigSearch,
+    config_fetch: ConfigFetch,
     elsewhere: ClosingElsewhere,
     /// Batches that are being closed here.
     closing_here: BTreeSet<BatchId>,
@@ -78,7 +78,7 @@
             store_heard: None,
             peers: PeerBook::default(),
             neighbours,
-            config_search: ConfigSearch::default(),
+            config_fetch: ConfigFetch::default(),
             elsewhere: ClosingElsewhere::default(),
             closing_here: BTreeSet::new(),
             out: Vec::new(),
@@ -131,7 +131,7 @@
         let times = [
             self.peers.next_wake(),
             self.neighbours.next_wake(),
-            self.config_search.next_wake(),
+            self.config_fetch.next_wake(),
         ];
         times.into_iter().flatten().min()
     }
@@ -139,7 +139,7 @@
     /// What is to be done, with the packets that are due.
     pub fn flush(&mut self, now: Now) -> Vec<EntryAction> {
         self.keep_neighbours(now);
-        if let Some(link) = self.config_search.take_due(now, self.config.version()) {
+        if let Some(link) = self.config_fetch.take_due(now, self.config.version()) {
             self.peers.tell(now, link, PeerNews::WantConfig);
         }
         for (link, news) in self.peers.take_due(now) {
@@ -198,7 +198,7 @@
     /// Notes that a link is gone.
     pub fn link_down(&mut self, now: Now, link: SessionId) {
         self.neighbours.link_down(now, link);
-        self.config_search.forget(link);
+        self.config_fetch.forget(link);
         if let Some(peer) = self.peers.leave(link) {
             self.log(EventCode::PeerLost, format!("entry={}", peer.name));
         }
@@ -283,7 +283,7 @@
         self.peers.holds(link, version);
         let own = self.config.version();
         if version > own {
-            self.config_search.heard(now, link, version, own);
+            self.config_fetch.heard(now, link, version, own);
         }
     }
 
--- a/lib/src/entry_search.rs
+++ b/lib/src/entry_discovery.rs
@@ -15,13 +15,13 @@
 
 /// See the module.
 #[derive(Debug)]
-pub struct EntrySearch {
+pub struct EntryDiscovery {
     /// When the store is to be asked; none while a link stands.
     ask_at: Option<Now>,
     pause: Duration,
 }
 
-impl EntrySearch {
+impl EntryDiscovery {
     /// Of a process that starts now.
     pub fn new(now: Now) -> Self {
         Self {
--- a/lib/src/entry_input.rs
+++ b/lib/src/entry_input.rs
@@ -4,8 +4,8 @@
 
 use crate::entry::{EntryEvent, Reply};
 use crate::ids::RequestId;
-use crate::links::LinkEvent;
 use crate::message::{AgentMessage, PeerMessage};
+use crate::session_links::LinkEvent;
 
 /// An event for the core, and where its answer goes.
 #[derive(Debug)]
--- a/lib/src/entry_links.rs
+++ b/lib/src/entry_links.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use crate::entry_input::EntryInput;
-use crate::links::{self, Adopt, LinkCommand, LinkTraffic, Links, Manners};
 use crate::message::{EntryMessage, PeerHello, PeerMessage};
 use crate::permit::FleetSecret;
 use crate::ring::{RingRx, RingTx, TaskWaker};
+use crate::session_links::{self, Adopt, HandshakeConfig, LinkCommand, LinkTraffic, SessionLinks};
 
 /// Path of agents' sessions.
 pub const AGENT_PATH: &str = "/agent";
@@ -35,24 +35,24 @@
 impl LinkParts {
     /// Serves agents and peers until the core is gone.
     pub(crate) async fn serve(self) {
-        let agent_manners = Manners {
+        let agent_manners = HandshakeConfig {
             our_first: None,
             await_first: true,
             path: AGENT_PATH,
         };
-        let peer_manners = Manners {
+        let peer_manners = HandshakeConfig {
             our_first: Some(PeerMessage::Hello(self.hello)),
             await_first: true,
             path: PEER_PATH,
         };
-        let agents = Links::new(
+        let agents = SessionLinks::new(
             self.secret.clone(),
             agent_manners,
             self.agent_events,
             EntryInput::Agent,
             self.traffic.clone(),
         );
-        let peers = Links::new(
+        let peers = SessionLinks::new(
             self.secret.clone(),
             peer_manners,
             self.peer_events,
@@ -69,7 +69,8 @@
             }
         };
         let adopters: Vec<Rc<dyn Adopt>> = vec![agents.clone(), peers.clone()];
-        let accept = tokio::task::spawn_local(links::accept_all(listener, self.secret, adopters));
+        let accept =
+            tokio::task::spawn_local(session_links::accept_all(listener, self.secret, adopters));
         tokio::join!(
             agents.serve(self.agent_commands, self.agent_waker),
             peers.serve(self.peer_commands, self.peer_waker),
--- a/lib/src/entry_router.rs
+++ b/lib/src/entry_router.rs
@@ -12,10 +12,10 @@
 use crate::entry::{EntryAction, EntryCore, EntryEvent, Reply};
 use crate::entry_input::EntryInput;
 use crate::ids::RequestId;
-use crate::links::{LinkCommand, LinkEvent, LinkTraffic};
 use crate::message::{AgentMessage, EntryMessage, PeerMessage};
 use crate::platform_thread::PlatformCommand;
 use crate::ring::RingTx;
+use crate::session_links::{LinkCommand, LinkEvent, LinkTraffic};
 use crate::telemetry::{Levels, Report};
 use crate::worker_threads::{ServerEnd, push_or_wait, report};
 
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -13,8 +13,8 @@
 //! Batches on the users' platform have layers of their own, which docs/design/platform.md explains:
 //!
 //! - words: [`clock`], [`resources`], [`run`], [`queue`], [`batch`], [`payload`], [`run_message`];
-//! - state: [`answer_time`], [`payload_cache`], [`entry_search`], [`run_book`], [`target_lease`], [`room_shares`], [`room_forecast`], [`entry_leases`],
-//!   [`preferred_entries`], [`evacuations`], [`link_pace`], [`crash_suspects`], [`batch_table`], [`target_registry`], [`peer_book`], [`closing_elsewhere`], [`config_search`], [`early_batches`],
+//! - state: [`answer_time`], [`payload_cache`], [`entry_discovery`], [`run_book`], [`target_lease`], [`room_shares`], [`room_forecast`], [`entry_leases`],
+//!   [`preferred_entries`], [`evacuations`], [`link_load`], [`crash_suspects`], [`batch_table`], [`target_registry`], [`peer_book`], [`closing_elsewhere`], [`config_fetch`], [`early_batches`],
 //!   [`entry_directory`], [`entry_drain`];
 //! - the cores: [`batch_entry`] and [`run_agent`], with what they are told and want done in
 //!   [`batch_event`] and [`run_event`], and the choice of targets in [`batch_placing`];
@@ -40,7 +40,7 @@
 pub mod codec;
 pub mod config_chain;
 pub mod config_document;
-pub mod config_search;
+pub mod config_fetch;
 pub mod core_thread;
 pub mod counters;
 pub mod crash_suspects;
@@ -48,6 +48,7 @@
 pub mod entry;
 pub mod entry_daemon;
 pub mod entry_directory;
+pub mod entry_discovery;
 pub mod entry_drain;
 pub mod entry_input;
 mod entry_jobs;
@@ -58,7 +59,6 @@
 pub mod entry_permits;
 pub mod entry_platform;
 mod entry_router;
-pub mod entry_search;
 pub mod entry_targets;
 pub mod evacuations;
 pub mod events;
@@ -77,8 +77,7 @@
 pub mod ledger;
 pub mod line_log;
 pub mod link_auth;
-pub mod link_pace;
-pub mod links;
+pub mod link_load;
 pub mod log_account;
 pub mod log_line;
 pub mod memory_platform;
@@ -108,6 +107,7 @@
 pub mod run_event;
 pub mod run_message;
 pub mod run_time;
+pub mod session_links;
 pub mod settings;
 pub mod slot_book;
 pub mod standing_queue;
--- a/lib/src/link_pace.rs
+++ b/lib/src/link_load.rs
@@ -26,7 +26,7 @@
 
 /// See the module.
 #[derive(Debug)]
-pub struct LinkPace {
+pub struct LinkLoad {
     /// None if the rate is not known: then nothing costs anything.
     rate: Option<ByteRate>,
     /// When all that was sent is through the link.
@@ -36,7 +36,7 @@
     averaged_at: Now,
 }
 
-impl LinkPace {
+impl LinkLoad {
     /// An idle link of this rate.
     pub fn new(rate: Option<ByteRate>) -> Self {
         Self {
--- a/lib/src/node_links.rs
+++ b/lib/src/node_links.rs
@@ -21,8 +21,8 @@
 use crate::codec;
 use crate::events::{EventCode, LogEvent};
 use crate::ids::SessionId;
-use crate::links::socket_config;
 use crate::run_message::Packet;
+use crate::session_links::socket_config;
 
 /// Packets that may wait to be written on one link.
 const MOST_UNSENT: usize = 2_048;
--- a/lib/src/outbox.rs
+++ b/lib/src/outbox.rs
@@ -13,9 +13,9 @@
 const LONGEST_SILENCE: Duration = Duration::from_secs(20);
 
 /// Sessions with agents.
-pub type AgentLinks = Links<EntryMessage, AgentLink>;
+pub type AgentOutboxes = Outboxes<EntryMessage, AgentLink>;
 /// Sessions with peers.
-pub type PeerLinks = Links<PeerMessage, PeerLink>;
+pub type PeerOutboxes = Outboxes<PeerMessage, PeerLink>;
 
 /// What a core keeps of an agent's session.
 #[derive(Debug, Default)]
@@ -49,12 +49,12 @@
 
 /// Sessions of one kind.
 #[derive(Debug)]
-pub struct Links<M, S> {
+pub struct Outboxes<M, S> {
     links: BTreeMap<SessionId, Link<M, S>>,
     dirty: Vec<SessionId>,
 }
 
-impl<M, S> Default for Links<M, S> {
+impl<M, S> Default for Outboxes<M, S> {
     fn default() -> Self {
         Self {
             links: BTreeMap::new(),
@@ -75,7 +75,7 @@
 /// A frame for a session.
 pub type SessionFrame<M> = (SessionId, Frame<M>);
 
-impl<M, S> Links<M, S> {
+impl<M, S> Outboxes<M, S> {
     /// Adds a session on which some frames, the hellos, have passed already.
     pub fn open(&mut self, session: SessionId, state: S, passed: Passed, now: Now) {
         let link = Link {
--- a/lib/src/run_agent.rs
+++ b/lib/src/run_agent.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 use crate::answer_time::AnswerTime;
+use crate::entry_discovery::EntryDiscovery;
 use crate::entry_leases::EntryLeases;
-use crate::entry_search::EntrySearch;
 use crate::evacuations::{EvacuationWatch, EvacuationsInForce};
 use crate::events::{EventCode, LogEvent};
 use crate::ids::{Incarnation, Now, SessionId};
@@ -63,7 +63,7 @@
     /// Stops that came before the lists were read, each with its entry's life.
     early_stops: Vec<(Incarnation, RunKey)>,
     preferred: PreferredEntries,
-    search: EntrySearch,
+    search: EntryDiscovery,
     unpacker: PayloadUnpacker,
     payloads: PayloadCache,
     evacuations: EvacuationsInForce,
@@ -96,7 +96,7 @@
                 PREFERRED_COUNT,
                 options.timings.start_window,
             ),
-            search: EntrySearch::new(now),
+            search: EntryDiscovery::new(now),
             unpacker: PayloadUnpacker::default(),
             payloads: PayloadCache::default(),
             evacuations: EvacuationsInForce::default(),
--- a/lib/src/links.rs
+++ b/lib/src/session_links.rs
@@ -103,7 +103,7 @@
 }
 
 /// How the hellos go on this kind of link.
-pub struct Manners<Out> {
+pub struct HandshakeConfig<Out> {
     /// Sent by us as the first frame of every session.
     pub our_first: Option<Out>,
     /// Whether the core is told of a session only with the other side's first message.
@@ -113,9 +113,9 @@
 }
 
 /// The sessions of one kind: `Out` goes out, `In` comes in, `Item` is what the core's ring takes.
-pub struct Links<Out, In, Item> {
+pub struct SessionLinks<Out, In, Item> {
     secret: FleetSecret,
-    manners: Manners<Out>,
+    handshake: HandshakeConfig<Out>,
     events: RefCell<RingTx<Item>>,
     wrap: fn(LinkEvent<In>) -> Item,
     sessions: RefCell<HashMap<SessionId, SessionHandle>>,
@@ -134,7 +134,7 @@
     LogEvent::new(EventCode::RingFull, "links to core").emit();
 }
 
-impl<Out, In, Item> Links<Out, In, Item>
+impl<Out, In, Item> SessionLinks<Out, In, Item>
 where
     Out: Serialize + Clone + 'static,
     In: DeserializeOwned + 'static,
@@ -143,7 +143,7 @@
     /// Links that tell their core through `events`, each event wrapped as the ring takes it.
     pub fn new(
         secret: FleetSecret,
-        manners: Manners<Out>,
+        handshake: HandshakeConfig<Out>,
         events: RingTx<Item>,
         wrap: fn(LinkEvent<In>) -> Item,
         traffic: Arc<LinkTraffic>,
@@ -151,7 +151,7 @@
         let (stop, _) = watch::channel(false);
         Rc::new(Self {
             secret,
-            manners,
+            handshake,
             events: RefCell::new(events),
             wrap,
             sessions: RefCell::default(),
@@ -233,7 +233,7 @@
     async fn dial_once(&self, address: &str) -> Option<WebSocketStream<TcpStream>> {
         let stream = TcpStream::connect(address).await.ok()?;
         let _ = stream.set_nodelay(true);
-        let url = format!("ws://{address}{}", self.manners.path);
+        let url = format!("ws://{address}{}", self.handshake.path);
         let config = Some(socket_config());
         let dialled = tokio_tungstenite::client_async_with_config(url, stream, config).await;
         let (mut socket, _) = dialled.ok()?;
@@ -250,7 +250,7 @@
     async fn run_session(self: Rc<Self>, mut socket: WebSocketStream<TcpStream>) {
         let session = self.next_session.get();
         self.next_session.set(session + 1);
-        if let Some(first) = self.manners.our_first.clone() {
+        if let Some(first) = self.handshake.our_first.clone() {
             let frame = Frame {
                 n: 1,
                 messages: vec![first],
@@ -278,7 +278,7 @@
         &self,
         socket: &mut WebSocketStream<TcpStream>,
     ) -> Result<Option<In>, NoHello> {
-        if !self.manners.await_first {
+        if !self.handshake.await_first {
             return Ok(None);
         }
         let received = tokio::time::timeout(HANDSHAKE_LIMIT, socket.next()).await;
@@ -373,14 +373,14 @@
     fn adopt(self: Rc<Self>, socket: WebSocketStream<TcpStream>) -> LocalBoxFuture<'static, ()>;
 }
 
-impl<Out, In, Item> Adopt for Links<Out, In, Item>
+impl<Out, In, Item> Adopt for SessionLinks<Out, In, Item>
 where
     Out: Serialize + Clone + 'static,
     In: DeserializeOwned + 'static,
     Item: 'static,
 {
     fn path(&self) -> &'static str {
-        self.manners.path
+        self.handshake.path
     }
 
     fn adopt(self: Rc<Self>, socket: WebSocketStream<TcpStream>) -> LocalBoxFuture<'static, ()> {
--- a/lib/tests/test_entry_search.rs
+++ b/lib/tests/test_entry_discovery.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use trestleknot_lib::entry_search::EntrySearch;
+use trestleknot_lib::entry_discovery::EntryDiscovery;
 use trestleknot_lib::ids::Now;
 
 const fn ms(millis: u64) -> Now {
@@ -10,7 +10,7 @@
 }
 
 /// Times at which an agent asks that is woken when it wants to be, until `until`.
-fn asked(search: &mut EntrySearch, until: Now, is_linked: bool) -> Vec<Now> {
+fn asked(search: &mut EntryDiscovery, until: Now, is_linked: bool) -> Vec<Now> {
     let mut asked = Vec::new();
     while let Some(at) = search.next_wake().filter(|at| *at <= until) {
         if search.take_due(at, is_linked) {
@@ -22,14 +22,14 @@
 
 #[test]
 fn test_take_due_at_start_and_then_less_and_less_often() {
-    let mut search = EntrySearch::new(ms(10));
+    let mut search = EntryDiscovery::new(ms(10));
     let expected = [10, 210, 610, 1_410, 2_910, 4_410].map(ms);
     assert_eq!(asked(&mut search, ms(5_000), false), expected);
 }
 
 #[test]
 fn test_take_due_not_while_a_link_stands() {
-    let mut search = EntrySearch::new(ms(0));
+    let mut search = EntryDiscovery::new(ms(0));
     assert!(search.take_due(ms(0), false));
     assert!(!search.take_due(ms(50), true));
     assert_eq!(search.next_wake(), None);
--- a/lib/tests/test_link_pace.rs
+++ b/lib/tests/test_link_load.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use trestleknot_lib::link_pace::LinkPace;
+use trestleknot_lib::link_load::LinkLoad;
 
 const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -13,7 +13,7 @@
 
 #[test]
 fn test_backlog_grows_with_what_is_sent_and_drains() {
-    let mut link = LinkPace::new(RATE);
+    let mut link = LinkLoad::new(RATE);
     assert_eq!(link.backlog(ms(10)), ms(0));
     link.sent(ms(10), 1_000);
     link.sent(ms(10), 1_000);
@@ -24,7 +24,7 @@
 
 #[test]
 fn test_price_rises_on_a_busy_link_and_is_bounded() {
-    let mut link = LinkPace::new(RATE);
+    let mut link = LinkLoad::new(RATE);
     assert_eq!(link.price(ms(0), 1_000), ms(4));
     for step in 0..500 {
         // Half of what it carries.
@@ -43,7 +43,7 @@
 #[test]
 fn test_price_without_a_rate_is_nothing() {
     for rate in [None, Some(0.0)] {
-        let mut link = LinkPace::new(rate);
+        let mut link = LinkLoad::new(rate);
         link.sent(ms(1), 1_000_000);
         assert_eq!(link.price(ms(1), 1_000), ms(0), "{rate:?}");
         assert_eq!(link.backlog(ms(1)), ms(0), "{rate:?}");
