--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -15,7 +15,7 @@
 use crate::message::{AgentMessage, Capacity, EntryMessage, Frame};
 use crate::outbox::Outboxes;
 use crate::permit::Registrar;
-use crate::slot_book::SlotBook;
+use crate::slot_table::SlotTable;
 
 /// What an agent's core is told at start.
 #[derive(Debug, Clone)]
@@ -162,7 +162,7 @@
     pub(crate) links: Outboxes<AgentMessage, EntryLink>,
     pub(crate) sessions: BTreeMap<Incarnation, SessionId>,
     pub(crate) ledger: DispatchLedger,
-    pub(crate) slots: SlotBook,
+    pub(crate) slots: SlotTable,
     pub(crate) registrar: Registrar,
     pub(crate) runs: BTreeMap<RunId, Run>,
     pub(crate) by_dispatch: HashMap<DispatchKey, RunId>,
@@ -187,7 +187,7 @@
     /// A new life of an agent.
     pub fn new(options: AgentOptions) -> Self {
         Self {
-            slots: SlotBook::new(options.capacity.slots),
+            slots: SlotTable::new(options.capacity.slots),
             now: Now::ZERO,
             out: Vec::new(),
             links: Outboxes::default(),
--- a/lib/src/agent_runs.rs
+++ b/lib/src/agent_runs.rs
@@ -11,7 +11,7 @@
 use crate::job::TaskSpec;
 use crate::ledger::Offer;
 use crate::message::{AgentMessage, Dispatch, DispatchFate, DispatchRefusal};
-use crate::slot_book::SlotNotice;
+use crate::slot_table::SlotNotice;
 
 /// What is known of an entry's dispatches is dropped when it has been gone for this.
 const FORGET_AFTER: Duration = Duration::from_secs(120);
--- a/lib/src/entry_directory.rs
+++ b/lib/src/entry_directory.rs
@@ -15,7 +15,7 @@
 use crate::evacuations::{EvacuatedHalls, EvacuationsInForce, Offered};
 use crate::events::{EventCode, LogEvent};
 use crate::ids::{Now, SessionId};
-use crate::peer_book::PeerBook;
+use crate::peer_table::PeerTable;
 use crate::preferred_entries::{FULL_MESH_LIMIT, LinkStep, PREFERRED_COUNT, PreferredEntries};
 use crate::queue::{ConfigInForce, ConfigVersion, QueueTable};
 use crate::run::BatchId;
@@ -57,7 +57,7 @@
     evacuations: EvacuationsInForce,
     /// When the store answered last.
     store_heard: Option<Now>,
-    peers: PeerBook,
+    peers: PeerTable,
     neighbours: PreferredEntries,
     config_fetch: ConfigFetch,
     elsewhere: ClosingElsewhere,
@@ -76,7 +76,7 @@
             config: ConfigInForce::default(),
             evacuations: EvacuationsInForce::default(),
             store_heard: None,
-            peers: PeerBook::default(),
+            peers: PeerTable::default(),
             neighbours,
             config_fetch: ConfigFetch::default(),
             elsewhere: ClosingElsewhere::default(),
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -4,7 +4,7 @@
 //! *agent* beside each. The modules come in layers, each using only those before it:
 //!
 //! - words: [`ids`], [`job`], [`message`], [`vm_list`], [`status`], [`events`], [`counters`];
-//! - parts of the decisions: [`ledger`], [`slot_book`], [`target_table`], [`job_table`],
+//! - parts of the decisions: [`ledger`], [`slot_table`], [`target_table`], [`job_table`],
 //!   [`placement`], [`admission`], [`run_time`], [`quota`], [`health`], [`permit`],
 //!   [`config_document`], [`config_chain`], [`journal`], [`frame_order`], [`outbox`];
 //! - the cores, deterministic state machines: [`entry`] (with the `entry_*` modules) and
@@ -13,8 +13,8 @@
 //! Batches on the users' platform have layers of their own, which docs/design/platform.md explains:
 //!
 //! - words: [`clock`], [`resources`], [`run`], [`queue`], [`batch`], [`payload`], [`run_message`];
-//! - state: [`answer_time`], [`payload_cache`], [`entry_discovery`], [`run_book`], [`target_lease`], [`room_shares`], [`room_forecast`], [`entry_leases`],
-//!   [`preferred_entries`], [`evacuations`], [`link_load`], [`crash_suspects`], [`batch_table`], [`target_registry`], [`peer_book`], [`closing_elsewhere`], [`config_fetch`], [`early_batches`],
+//! - state: [`answer_time`], [`payload_cache`], [`entry_discovery`], [`run_table`], [`target_lease`], [`room_shares`], [`room_forecast`], [`entry_leases`],
+//!   [`preferred_entries`], [`evacuations`], [`link_load`], [`crash_suspects`], [`batch_table`], [`target_registry`], [`peer_table`], [`closing_elsewhere`], [`config_fetch`], [`early_batches`],
 //!   [`entry_directory`], [`entry_drain`];
 //! - the cores: [`batch_entry`] and [`run_agent`], with what they are told and want done in
 //!   [`batch_event`] and [`run_event`], and the choice of targets in [`batch_placing`];
@@ -87,7 +87,7 @@
 pub mod outbox;
 pub mod payload;
 pub mod payload_cache;
-pub mod peer_book;
+pub mod peer_table;
 pub mod permit;
 pub mod placement;
 pub mod platform;
@@ -103,13 +103,13 @@
 pub mod room_shares;
 pub mod run;
 pub mod run_agent;
-pub mod run_book;
 pub mod run_event;
 pub mod run_message;
+pub mod run_table;
 pub mod run_time;
 pub mod session_links;
 pub mod settings;
-pub mod slot_book;
+pub mod slot_table;
 pub mod standing_queue;
 pub mod status;
 pub mod target_health;
--- a/lib/src/peer_book.rs
+++ b/lib/src/peer_table.rs
@@ -64,12 +64,12 @@
 
 /// See the module.
 #[derive(Debug, Default)]
-pub struct PeerBook {
+pub struct PeerTable {
     links: BTreeMap<SessionId, Peer>,
     known: BTreeSet<SocketAddr>,
 }
 
-impl PeerBook {
+impl PeerTable {
     /// Notes addresses of entries; gives those that are new.
     pub fn learn(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) -> Vec<SocketAddr> {
         let addresses = addresses.into_iter();
--- a/lib/src/platform_ports.rs
+++ b/lib/src/platform_ports.rs
@@ -9,8 +9,8 @@
 use crate::evacuations::EvacuationRecords;
 use crate::queue::QueueTable;
 use crate::run::RunKey;
-use crate::run_book::FencingToken;
 use crate::run_event::{RenewalAnswer, StartAnswer, StartCall};
+use crate::run_table::FencingToken;
 use crate::target_incarnation::TargetName;
 use crate::target_lease::Renewal;
 
--- a/lib/src/run_agent.rs
+++ b/lib/src/run_agent.rs
@@ -25,11 +25,11 @@
 use crate::resources::Resources;
 use crate::room_shares::Room;
 use crate::run::{RunEnd, RunKey};
-use crate::run_book::{Run, RunBook, Stopping};
 use crate::run_event::{AgentAction, AgentEvent, AgentLevels, AgentOptions};
 use crate::run_message::{
     AgentIntro, AgentMillis, AgentNews, AgentPacket, EntryPacket, Order, Welcome,
 };
+use crate::run_table::{Run, RunTable, Stopping};
 use crate::target_health::TargetHealth;
 use crate::target_incarnations::TargetIncarnations;
 use crate::target_lease::TargetLease;
@@ -49,7 +49,7 @@
     entries: EntryLeases,
     lives: TargetIncarnations,
     lease: TargetLease,
-    book: RunBook,
+    runs: RunTable,
     health: TargetHealth,
     /// How long the target's answers to starts take.
     start_time: AnswerTime,
@@ -84,7 +84,7 @@
             entries: EntryLeases::new(options.timings),
             lives: TargetIncarnations::default(),
             lease,
-            book: RunBook::default(),
+            runs: RunTable::default(),
             health: TargetHealth::default(),
             start_time: AnswerTime::new(LEAST_START_LIMIT, START_LIMIT),
             resumed: now,
@@ -146,10 +146,10 @@
                 .next_wake()
                 .filter(|_| self.draining_since.is_none()),
         ];
-        for (_, run) in self.book.iter() {
+        for (_, run) in self.runs.iter() {
             times.push(Some(self.run_wake(run)));
         }
-        if !self.book.is_empty() || !self.knows_lists {
+        if !self.runs.is_empty() || !self.knows_lists {
             times.push(Some(self.lease.lapses_at()));
             times.push(self.renewal_overdue().map(|(at, _)| at));
         }
@@ -164,7 +164,7 @@
     /// Figures for the metrics page.
     pub fn levels(&self) -> AgentLevels {
         AgentLevels {
-            runs: self.book.len() as u64,
+            runs: self.runs.len() as u64,
             entries: self.entries.len() as u64,
         }
     }
@@ -215,7 +215,7 @@
             self.push_renewal(look);
         }
         let suspended_ms = suspended.as_millis();
-        let running = self.book.len();
+        let running = self.runs.len();
         self.log(
             EventCode::Resumed,
             format!("suspended_ms={suspended_ms} running={running}"),
@@ -274,10 +274,10 @@
         if self.draining_since.is_some() {
             return;
         }
-        let (entries, book) = (&self.entries, &self.book);
+        let (entries, runs) = (&self.entries, &self.runs);
         let is_needed = |link| {
             let entry = entries.get(link).and_then(|l| l.entry);
-            entry.is_some() && book.iter().any(|(_, run)| run.owner == entry)
+            entry.is_some() && runs.iter().any(|(_, run)| run.owner == entry)
         };
         for step in self.preferred.steps(self.now, is_needed) {
             match step {
@@ -362,7 +362,7 @@
     /// Runs that their own entry does not name are not wanted any more.
     fn stop_unclaimed(&mut self, life: Incarnation, claims: &[(RunKey, Resources)]) {
         let unclaimed: Vec<RunKey> = self
-            .book
+            .runs
             .iter()
             .filter(|(key, run)| run.owner == Some(life) && claims.iter().all(|(k, _)| k != key))
             .map(|(key, _)| key)
@@ -374,10 +374,10 @@
 
     /// Answers an entry's claim: the run is its own from now on, or it is over.
     fn claim(&mut self, life: Incarnation, key: RunKey, size: Resources) {
-        if self.book.claim(key, life, size) {
+        if self.runs.claim(key, life, size) {
             return;
         }
-        let end = self.book.end_of(key).unwrap_or(RunEnd::Lost);
+        let end = self.runs.end_of(key).unwrap_or(RunEnd::Lost);
         self.entries.tell(
             life,
             AgentNews::Ended {
@@ -393,7 +393,7 @@
             return;
         };
         for key in keys {
-            if self.knows_lists || self.book.get(key).is_some() {
+            if self.knows_lists || self.runs.get(key).is_some() {
                 self.stop_or_tell(entry, key);
             } else {
                 // A run of an earlier life of this agent may go on: that it is not known here is no
@@ -405,42 +405,42 @@
 
     /// Stops a run, or tells its entry that it is over.
     fn stop_or_tell(&mut self, entry: Incarnation, key: RunKey) {
-        if self.book.get(key).is_some() {
+        if self.runs.get(key).is_some() {
             self.ask_stop(key, None);
             return;
         }
-        let end = self.book.end_of(key).unwrap_or(RunEnd::Lost);
+        let end = self.runs.end_of(key).unwrap_or(RunEnd::Lost);
         let ran_ms = 0;
         let news = AgentNews::Ended { key, end, ran_ms };
         self.entries.tell(entry, news);
     }
 
     /// Stops a run. If nobody has answered for it since a time, the stop must succeed within bounds.
-    fn ask_stop(&mut self, key: RunKey, unheld_since: Option<Now>) {
+    fn ask_stop(&mut self, key: RunKey, orphaned_since: Option<Now>) {
         let resend_at = self.now;
-        let Some(run) = self.book.get_mut(key) else {
+        let Some(run) = self.runs.get_mut(key) else {
             return;
         };
         let stopping = run.stopping.get_or_insert(Stopping {
             resend_at,
-            unheld_since,
+            orphaned_since,
         });
-        stopping.unheld_since = stopping.unheld_since.or(unheld_since);
+        stopping.orphaned_since = stopping.orphaned_since.or(orphaned_since);
     }
 
     // Runs.
 
     /// Ends all runs without a listed end.
     fn end_all(&mut self) {
-        for key in self.book.keys() {
-            let end = self.book.get(key).map(|run| run.end_if_unlisted);
+        for key in self.runs.keys() {
+            let end = self.runs.get(key).map(|run| run.end_if_unlisted);
             self.end_run(key, end.unwrap_or(RunEnd::Lost));
         }
     }
 
     fn end_run(&mut self, key: RunKey, end: RunEnd) {
-        self.book.remember_end(self.now, key, end);
-        let Some(run) = self.book.remove(key) else {
+        self.runs.remember_end(self.now, key, end);
+        let Some(run) = self.runs.remove(key) else {
             return;
         };
         let ran = run
@@ -448,7 +448,7 @@
             .map(|since| self.now.saturating_sub(since));
         self.learn_health(end, ran.unwrap_or_default(), run.estimate);
         let ran_ms = ran.unwrap_or_default().as_millis() as u32;
-        let running = self.book.len();
+        let running = self.runs.len();
         self.log(
             EventCode::RunEnded,
             format!("run={key} end={end:?} ran_ms={ran_ms} still_running={running}"),
@@ -479,12 +479,12 @@
     fn check_leases(&mut self) {
         let now = self.now;
         let mut orphans = Vec::new();
-        for (key, run) in self.book.iter() {
+        for (key, run) in self.runs.iter() {
             let held_until = match run.owner {
                 Some(owner) => self.entries.until(owner),
                 None => run.since + self.options.timings.claim_grace,
             };
-            if held_until <= now && run.stopping.is_none_or(|s| s.unheld_since.is_none()) {
+            if held_until <= now && run.stopping.is_none_or(|s| s.orphaned_since.is_none()) {
                 orphans.push((key, held_until));
             }
         }
@@ -497,9 +497,9 @@
         if now < self.lease.lapses_at() {
             return;
         }
-        if !self.book.is_empty() {
+        if !self.runs.is_empty() {
             if self.lease.is_refused() && self.may_have_crashed() {
-                self.book.note_crash();
+                self.runs.note_crash();
             }
             self.end_all();
         }
@@ -510,7 +510,7 @@
         let now = self.now;
         let token = self.lease.token();
         let life = self.lives.current_name();
-        for (key, run) in self.book.iter_mut() {
+        for (key, run) in self.runs.iter_mut() {
             let Some(stopping) = &mut run.stopping else {
                 continue;
             };
@@ -532,7 +532,7 @@
             return;
         }
         self.draining_since = Some(self.now);
-        let running = self.book.len();
+        let running = self.runs.len();
         self.log(EventCode::Draining, format!("running={running}"));
         self.entries.tell_all(&AgentNews::Leaving);
     }
@@ -544,10 +544,10 @@
             return;
         };
         let is_over = self.now >= since + self.options.timings.agent_stop;
-        if !self.book.is_empty() && !is_over {
+        if !self.runs.is_empty() && !is_over {
             return;
         }
-        let running = self.book.len();
+        let running = self.runs.len();
         let code = if running > 0 {
             EventCode::DrainCut
         } else {
@@ -573,14 +573,14 @@
         if is_closed {
             return Resources::NONE;
         }
-        self.book.free(target.capacity)
+        self.runs.free(target.capacity)
     }
 
     fn flush(&mut self) {
         let clock = self.now.as_millis() as AgentMillis;
         let room = Room {
             free: self.free(),
-            place: self.book.usual_size(),
+            place: self.runs.usual_size(),
         };
         self.entries.share_room(self.now, room);
         for due in self.entries.take_due(self.now) {
--- a/lib/src/run_agent/incarnations.rs
+++ b/lib/src/run_agent/incarnations.rs
@@ -155,7 +155,7 @@
         if life.name != *name || (born.is_some() && life.born != born) {
             return;
         }
-        let (life, runs) = (life.clone(), self.book.len());
+        let (life, runs) = (life.clone(), self.runs.len());
         self.log(EventCode::TargetGoodbye, format!("life={life} runs={runs}"));
         self.lives.forget_current();
         self.tell_target();
@@ -185,10 +185,10 @@
         let Some(life) = self.lives.current_incarnation().cloned() else {
             return false;
         };
-        let runs = self.book.len();
+        let runs = self.runs.len();
         let is_crash = self.may_have_crashed();
         if is_crash {
-            self.book.note_crash();
+            self.runs.note_crash();
         }
         self.log(
             EventCode::TargetLifeOver,
--- a/lib/src/run_agent/lists.rs
+++ b/lib/src/run_agent/lists.rs
@@ -7,9 +7,9 @@
 use crate::events::EventCode;
 use crate::ids::Now;
 use crate::run::{RunEnd, RunKey};
-use crate::run_book::{FencingToken, Phase, Run};
 use crate::run_event::{AgentAction, RenewalAnswer};
 use crate::run_message::AgentNews;
+use crate::run_table::{FencingToken, Phase, Run};
 use crate::target_health::SlowRun;
 use crate::target_lease::{EndNumber, ListedRun, Renewal, TargetMillis};
 
@@ -50,7 +50,7 @@
             self.lease.unanswered(self.now, number);
         }
         // A target in doubt is asked until it answers, though nothing may be left to renew.
-        let is_idle = self.book.is_empty() && self.knows_lists && !self.lease.is_in_doubt();
+        let is_idle = self.runs.is_empty() && self.knows_lists && !self.lease.is_in_doubt();
         if is_idle {
             return;
         }
@@ -67,9 +67,9 @@
     pub(super) fn may_renew(&self) -> bool {
         let now = self.now;
         let stop_bound = self.options.timings.stop_bound;
-        self.book.iter().all(|(_, run)| {
-            let unheld_since = run.stopping.and_then(|s| s.unheld_since);
-            let stop_may_succeed = unheld_since.is_none_or(|since| since + stop_bound > now);
+        self.runs.iter().all(|(_, run)| {
+            let orphaned_since = run.stopping.and_then(|s| s.orphaned_since);
+            let stop_may_succeed = orphaned_since.is_none_or(|since| since + stop_bound > now);
             run.owner.is_some() && stop_may_succeed
         })
     }
@@ -77,7 +77,7 @@
     /// Time until a run is to be looked at for slowness.
     pub(super) fn shortest_look(&self) -> Duration {
         let mut shortest = CALM_WAIT;
-        for (_, run) in self.book.iter() {
+        for (_, run) in self.runs.iter() {
             let since = run.running_since.unwrap_or(self.now);
             let look = since + run.estimate.mul_f64(LOOK_SHARE) + SLOW_SLACK;
             let look = look.max(run.slow_report_at);
@@ -132,7 +132,7 @@
         for &(end_number, key, end) in ended {
             if self.lease.is_new_end(end_number) {
                 self.end_run(key, end);
-            } else if self.book.get(key).is_some() {
+            } else if self.runs.get(key).is_some() {
                 let detail = format!("run={key} end={end:?} number={end_number}");
                 self.log(EventCode::EndPassedOver, detail);
             }
@@ -148,7 +148,7 @@
         }
         if !self.knows_lists {
             self.knows_lists = true;
-            let adopted = self.book.len();
+            let adopted = self.runs.len();
             self.log(EventCode::TargetListsRead, format!("adopted={adopted}"));
             self.tell_target();
             self.answer_early_orders();
@@ -167,8 +167,8 @@
 
     pub(super) fn listed_running(&mut self, listed: &ListedRun) {
         let ListedRun { key, percent } = *listed;
-        if self.book.get(key).is_none() {
-            if self.book.end_of(key).is_none() {
+        if self.runs.get(key).is_none() {
+            if self.runs.end_of(key).is_none() {
                 self.adopt(key);
             }
             return;
@@ -193,7 +193,7 @@
             slow_report_at: Now::ZERO,
             end_if_unlisted: RunEnd::Lost,
         };
-        self.book.insert(key, run);
+        self.runs.insert(key, run);
     }
 
     /// Settles runs that the target does not list. Only what was known to run, or was fenced off,
@@ -206,7 +206,7 @@
     ) {
         let mut gone = Vec::new();
         let mut never = Vec::new();
-        for (key, run) in self.book.iter() {
+        for (key, run) in self.runs.iter() {
             if running.iter().any(|l| l.key == key) {
                 continue;
             }
@@ -228,7 +228,7 @@
 
     pub(super) fn check_slow(&mut self, key: RunKey, percent: u32) {
         let now = self.now;
-        let Some(run) = self.book.get_mut(key) else {
+        let Some(run) = self.runs.get_mut(key) else {
             return;
         };
         let Some(since) = run.running_since else {
--- a/lib/src/run_agent/starts.rs
+++ b/lib/src/run_agent/starts.rs
@@ -7,9 +7,9 @@
 use crate::events::EventCode;
 use crate::ids::{Incarnation, Now, SessionId};
 use crate::run::{NotStarted, RunEnd, RunKey};
-use crate::run_book::{FencingToken, Phase, Run};
 use crate::run_event::{AgentAction, StartAnswer, StartCall};
 use crate::run_message::{AgentNews, StartOrder};
+use crate::run_table::{FencingToken, Phase, Run};
 use crate::target_incarnation::TargetName;
 
 /// How long a start may go unanswered. The target is on this VM and answers within a few
@@ -111,7 +111,7 @@
         if self.lease.is_in_doubt() {
             return Err(NotStarted::Doubtful);
         }
-        if self.book.has_task(key.task) {
+        if self.runs.has_task(key.task) {
             return Err(NotStarted::Superseded);
         }
         // A task that runs alone takes everything, so that nothing joins it.
@@ -121,8 +121,8 @@
             order.size
         };
         let fits = order.size.fits_in(target.capacity)
-            && size.fits_in(self.book.free(target.capacity))
-            && (self.book.is_empty() || !order.alone);
+            && size.fits_in(self.runs.free(target.capacity))
+            && (self.runs.is_empty() || !order.alone);
         if !fits {
             return Err(NotStarted::Full);
         }
@@ -143,9 +143,9 @@
             slow_report_at: Now::ZERO,
             end_if_unlisted: RunEnd::Lost,
         };
-        self.book.insert(key, run);
+        self.runs.insert(key, run);
         self.send_start(key, target.life.name).inspect_err(|_| {
-            self.book.remove(key);
+            self.runs.remove(key);
         })
     }
 
@@ -156,7 +156,7 @@
         }
         // The room may have shrunk since the run was booked.
         let capacity = self.lives.current().map(|target| target.capacity);
-        if !capacity.is_some_and(|c| self.book.is_within(c)) {
+        if !capacity.is_some_and(|c| self.runs.is_within(c)) {
             return Err(NotStarted::Full);
         }
         // A start extends the lease of all runs; one that must lapse would go on.
@@ -167,7 +167,7 @@
         let until = until.ok_or(NotStarted::Unreachable)?;
         let token = self.lease.token();
         let sent = self.now;
-        let Some(run) = self.book.get_mut(key) else {
+        let Some(run) = self.runs.get_mut(key) else {
             return Ok(());
         };
         run.phase = Phase::Starting { token, sent };
@@ -183,13 +183,13 @@
     }
 
     pub(super) fn not_started(&mut self, key: RunKey, reason: NotStarted) {
-        if let Some(run) = self.book.remove(key) {
+        if let Some(run) = self.runs.remove(key) {
             self.refuse(run.owner, key, reason);
         }
     }
 
     pub(super) fn start_answered(&mut self, key: RunKey, token: FencingToken, answer: StartAnswer) {
-        let Some(phase) = self.book.get(key).map(|run| run.phase) else {
+        let Some(phase) = self.runs.get(key).map(|run| run.phase) else {
             return;
         };
         match phase {
@@ -228,7 +228,7 @@
 
     pub(super) fn mark_running(&mut self, key: RunKey) {
         let now = self.now;
-        if let Some(run) = self.book.get_mut(key) {
+        if let Some(run) = self.runs.get_mut(key) {
             run.phase = Phase::Running;
             run.running_since.get_or_insert(now);
         }
@@ -243,7 +243,7 @@
     /// Sends a start again that is known not to have happened, or tells the entry why not.
     pub(super) fn send_start_again(&mut self, key: RunKey, reason: NotStarted) {
         let may_retry = self
-            .book
+            .runs
             .get(key)
             .is_some_and(|r| r.start_by > self.now && r.stopping.is_none());
         let life = self.lives.current_name();
@@ -259,7 +259,7 @@
     /// Gives up on starts whose answers are overdue.
     pub(super) fn fence_overdue_starts(&mut self) {
         let mut overdue = Vec::new();
-        for (key, run) in self.book.iter() {
+        for (key, run) in self.runs.iter() {
             let is_overdue = self.answer_by(run).is_some_and(|by| by <= self.now);
             if let (Phase::Starting { token, .. }, true) = (run.phase, is_overdue) {
                 overdue.push((key, token));
@@ -273,7 +273,7 @@
     pub(super) fn starts_unanswered(&mut self, starts: &[(RunKey, FencingToken)]) {
         let mut is_any_new = false;
         for &(key, token) in starts {
-            let Some(run) = self.book.get_mut(key) else {
+            let Some(run) = self.runs.get_mut(key) else {
                 continue;
             };
             let Phase::Starting { sent, .. } = run.phase else {
@@ -300,7 +300,7 @@
     /// A start was lost on its way. It is sent once more; the second loss is the entry's to mend,
     /// for a target may swallow all orders.
     pub(super) fn start_lost(&mut self, key: RunKey) {
-        let Some(run) = self.book.get_mut(key) else {
+        let Some(run) = self.runs.get_mut(key) else {
             return;
         };
         if let end @ RunEnd::Crashed { .. } = run.end_if_unlisted {
--- a/lib/src/run_book.rs
+++ b/lib/src/run_table.rs
@@ -48,7 +48,7 @@
     /// Since when nobody answers for the run: the stop must then succeed within bounds. Counted from
     /// that time and not from when it was noticed, or a process that stood still would renew what
     /// must lapse.
-    pub unheld_since: Option<Now>,
+    pub orphaned_since: Option<Now>,
 }
 
 /// One run.
@@ -83,7 +83,7 @@
 
 /// All runs of one target.
 #[derive(Debug, Default)]
-pub struct RunBook {
+pub struct RunTable {
     runs: BTreeMap<RunKey, Run>,
     booked: Resources,
     /// Size of the run that was booked last.
@@ -93,7 +93,7 @@
     ends_order: VecDeque<(Now, RunKey)>,
 }
 
-impl RunBook {
+impl RunTable {
     /// Books a run.
     pub fn insert(&mut self, key: RunKey, run: Run) {
         match run.size {
--- a/lib/src/slot_book.rs
+++ b/lib/src/slot_table.rs
@@ -24,7 +24,7 @@
 
 /// Slots of one target and who holds them.
 #[derive(Debug)]
-pub struct SlotBook {
+pub struct SlotTable {
     total: u32,
     running: u32,
     usable: bool,
@@ -43,7 +43,7 @@
     weight: f64,
 }
 
-impl SlotBook {
+impl SlotTable {
     /// A book of `total` free slots.
     pub fn new(total: u32) -> Self {
         Self {
--- a/lib/src/target_lease.rs
+++ b/lib/src/target_lease.rs
@@ -9,7 +9,7 @@
 
 use crate::ids::Now;
 use crate::run::RunKey;
-use crate::run_book::FencingToken;
+use crate::run_table::FencingToken;
 use crate::target_incarnation::BornMillis;
 use crate::timings::Timings;
 
--- a/lib/tests/test_controllers.rs
+++ b/lib/tests/test_controllers.rs
@@ -11,7 +11,7 @@
 use trestleknot_lib::placement::PlacementMode;
 use trestleknot_lib::quota::Quotas;
 use trestleknot_lib::run_time::RunTimes;
-use trestleknot_lib::slot_book::{SlotBook, SlotNotice};
+use trestleknot_lib::slot_table::{SlotNotice, SlotTable};
 
 #[test]
 fn test_accept_frames_by_case() {
@@ -29,8 +29,8 @@
     }
 }
 
-fn book(slots: u32) -> SlotBook {
-    let mut book = SlotBook::new(slots);
+fn book(slots: u32) -> SlotTable {
+    let mut book = SlotTable::new(slots);
     book.open(1, PlacementMode::SlotGrants);
     book.open(2, PlacementMode::SlotGrants);
     book
--- a/lib/testutils/src/run_fleet/targets.rs
+++ b/lib/testutils/src/run_fleet/targets.rs
@@ -7,10 +7,10 @@
 use rand::Rng as _;
 use trestleknot_lib::ids::Now;
 use trestleknot_lib::run::RunKey;
-use trestleknot_lib::run_book::FencingToken;
 use trestleknot_lib::run_event::{
     AgentEvent, IncarnationAnswer, RenewalAnswer, StartAnswer, StartCall, TargetReport,
 };
+use trestleknot_lib::run_table::FencingToken;
 use trestleknot_lib::target_incarnation::TargetIncarnation;
 use trestleknot_lib::target_lease::Renewal;
 
--- a/lib/testutils/src/run_target.rs
+++ b/lib/testutils/src/run_target.rs
@@ -10,9 +10,9 @@
 use trestleknot_lib::ids::Now;
 use trestleknot_lib::resources::Resources;
 use trestleknot_lib::run::{RunEnd, RunKey, RunNumber, TaskKey};
-use trestleknot_lib::run_book::FencingToken;
 use trestleknot_lib::run_event::{RenewalAnswer, StartAnswer};
 use trestleknot_lib::run_message::TargetInfo;
+use trestleknot_lib::run_table::FencingToken;
 use trestleknot_lib::target_incarnation::{BornMillis, TargetIncarnation, TargetName};
 use trestleknot_lib::target_lease::{EndNumber, ListedRun, TargetMillis};
 
