--- a/lib/src/held_batch.rs
+++ b/lib/src/active_batch.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::batch::{BatchSpec, StepSpec};
-use crate::crash_suspects::CrashRecord;
+use crate::crash_history::CrashHistory;
 use crate::ids::{NodeName, Now, RequestId, SessionId};
 use crate::payload::Payload;
 use crate::queue::Queue;
@@ -17,7 +17,7 @@
     /// It is to be placed.
     Waiting,
     /// An order to start it has been sent, and nothing proves that it is over.
-    Out {
+    Assigned {
         /// Agent that has the order.
         agent: NodeName,
         /// When it was sent.
@@ -41,7 +41,7 @@
     /// Agent that served it badly last.
     pub avoid: Option<NodeName>,
     /// Crashes of targets that had a run of it.
-    pub crashes: CrashRecord,
+    pub crashes: CrashHistory,
 }
 
 /// A step and its tasks.
@@ -121,17 +121,17 @@
     /// while it had time.
     pub is_overdue: bool,
     /// When its caller's time is up.
-    pub give_up: Now,
+    pub caller_deadline: Now,
     /// When it can't be in time any more if nothing of it has been placed by then.
     pub in_time_until: Now,
     /// When it is refused if nothing of it has been placed by then.
-    pub place_by: Now,
+    pub placement_deadline: Now,
     /// Whether any order to start was ever sent for it.
-    pub is_tried: bool,
+    pub was_dispatched: bool,
     /// Links on which its payload was sent.
-    pub payload_at: BTreeSet<SessionId>,
+    pub payload_sent_to: BTreeSet<SessionId>,
     /// Tasks out.
-    pub out: u32,
+    pub open_runs: u32,
     /// Whether it is still wanted.
     pub state: BatchState,
 }
@@ -150,7 +150,7 @@
             run: 1,
             failures: 0,
             avoid: None,
-            crashes: CrashRecord::default(),
+            crashes: CrashHistory::default(),
         };
         let steps = spec.steps.iter().map(|spec| Step {
             spec: spec.clone(),
@@ -167,19 +167,19 @@
             arrived: times.arrived,
             due: times.due,
             is_overdue: times.is_overdue,
-            give_up: times.give_up,
+            caller_deadline: times.caller_deadline,
             in_time_until: times.in_time_until,
-            place_by: times.place_by,
-            is_tried: false,
-            payload_at: BTreeSet::new(),
-            out: 0,
+            placement_deadline: times.placement_deadline,
+            was_dispatched: false,
+            payload_sent_to: BTreeSet::new(),
+            open_runs: 0,
             state: BatchState::Open,
         }
     }
 
     /// Its place among those that wait.
-    pub fn turn(&self) -> Turn {
-        Turn {
+    pub fn turn(&self) -> PlacementOrder {
+        PlacementOrder {
             is_overdue: self.is_overdue,
             due: self.due,
         }
@@ -221,11 +221,11 @@
     }
 
     /// Runs that are out, with their agents; those that are not being stopped if `live_only`.
-    pub fn outs(&self, id: BatchId, live_only: bool) -> Vec<(RunKey, NodeName)> {
+    pub fn open_runs(&self, id: BatchId, live_only: bool) -> Vec<(RunKey, NodeName)> {
         let mut outs = Vec::new();
         for (step_index, step) in self.steps.iter().enumerate() {
             for (index, task) in step.tasks.iter().enumerate() {
-                let TaskState::Out {
+                let TaskState::Assigned {
                     agent, stopping, ..
                 } = &task.state
                 else {
@@ -260,17 +260,17 @@
     /// See [`Batch`].
     pub is_overdue: bool,
     /// See [`Batch`].
-    pub give_up: Now,
+    pub caller_deadline: Now,
     /// See [`Batch`].
     pub in_time_until: Now,
     /// See [`Batch`].
-    pub place_by: Now,
+    pub placement_deadline: Now,
 }
 
 /// Place of a batch among those that wait. Those whose objective was past before they came go last:
 /// they can't be in time any more, and would make others late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Turn {
+pub struct PlacementOrder {
     /// See [`Batch`].
     pub is_overdue: bool,
     /// See [`Batch`].
--- a/lib/src/agent_node.rs
+++ b/lib/src/agent_node.rs
@@ -14,7 +14,7 @@
 use crate::ids::SessionId;
 use crate::node_links::{LinkSink, NodeLinks};
 use crate::platform_ports::{EntryRegistry, OperatorFeed, PortError, TargetPort};
-use crate::run_agent::RunAgent;
+use crate::run_agent::RunAgentCore;
 use crate::run_event::{AgentAction, AgentEvent, AgentOptions, StartCall};
 use crate::run_message::Packet;
 use crate::target_incarnation::TargetName;
@@ -24,7 +24,7 @@
 /// See the module.
 pub struct AgentNode {
     me: Weak<AgentNode>,
-    core: RefCell<RunAgent>,
+    core: RefCell<RunAgentCore>,
     timer: Rc<WakeTimer>,
     links: Rc<NodeLinks>,
     target: Rc<dyn TargetPort>,
@@ -44,7 +44,7 @@
         registry: Rc<dyn EntryRegistry>,
     ) -> Rc<Self> {
         let timer = WakeTimer::new(Instant::now());
-        let core = RunAgent::new(timer.now(), options);
+        let core = RunAgentCore::new(timer.now(), options);
         let node = Rc::new_cyclic(|me: &Weak<Self>| Self {
             me: me.clone(),
             core: RefCell::new(core),
--- a/lib/src/batch_entry.rs
+++ b/lib/src/batch_entry.rs
@@ -16,9 +16,9 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::batch_event::{EntryAction, EntryEvent, EntryLevels, EntryOptions, Reply};
-use crate::batch_placing::{Placed, Placing};
-use crate::batch_table::{BatchNews, BatchTable, RunOver};
-use crate::early_batches::EarlyBatches;
+use crate::batch_placing::{Placed, PlacementRound};
+use crate::batch_table::{BatchNews, BatchTable, RunOutcome};
+use crate::deferred_batches::DeferredBatches;
 use crate::entry_directory::{EntryDirectory, Source};
 use crate::entry_drain::EntryDrain;
 use crate::events::{EventCode, LogEvent};
@@ -53,7 +53,7 @@
 }
 
 /// State of an entry.
-pub struct BatchEntry {
+pub struct BatchEntryCore {
     options: Arc<EntryOptions>,
     now: Now,
     rng: ChaCha8Rng,
@@ -66,7 +66,7 @@
     lost: BTreeMap<NodeName, Now>,
     needs_placing: bool,
     drain: EntryDrain,
-    early: EarlyBatches,
+    early: DeferredBatches,
     usual_patience: UsualPatience,
     standing: StandingQueue,
     forecast: RoomForecast,
@@ -79,7 +79,7 @@
     exited: bool,
 }
 
-impl BatchEntry {
+impl BatchEntryCore {
     /// A new life of an entry.
     pub fn new(options: EntryOptions) -> Self {
         let options = Arc::new(options);
@@ -94,7 +94,7 @@
             lost: BTreeMap::new(),
             needs_placing: false,
             drain: EntryDrain::new(&options.timings),
-            early: EarlyBatches::default(),
+            early: DeferredBatches::default(),
             usual_patience: UsualPatience::default(),
             standing: StandingQueue::default(),
             forecast: RoomForecast::default(),
@@ -117,7 +117,7 @@
         self.end_due_batches();
         self.settle_lost();
         self.dispatch_event(event);
-        self.settle_early();
+        self.settle_deferred();
         if self.link_full_until.is_some_and(|until| until <= self.now) {
             self.link_full_until = None;
             self.needs_placing = true;
@@ -247,7 +247,7 @@
         self.refuse_what_came_to_be_hopeless();
         let ids: Vec<BatchId> = self.table.in_order().collect();
         let directory = &self.directory;
-        let mut placing = Placing {
+        let mut placing = PlacementRound {
             now: self.now,
             hall: &self.options.hall,
             table: &mut self.table,
@@ -262,7 +262,7 @@
             if placing.link.full_until(self.now).is_some() {
                 break;
             }
-            let is_held = directory.is_closing_elsewhere(self.now, id);
+            let is_held = directory.is_closing_at_peer(self.now, id);
             if !is_held && !placing.place(id) {
                 misses += 1;
             }
@@ -323,7 +323,7 @@
         }
     }
 
-    fn run_over(&mut self, key: RunKey, over: RunOver) {
+    fn run_over(&mut self, key: RunKey, over: RunOutcome) {
         let id = key.task.batch;
         self.needs_placing = true;
         match self.table.run_over(key, over) {
@@ -345,14 +345,14 @@
         let due: Vec<NodeName> = due.map(|(agent, _)| agent.clone()).collect();
         for agent in due {
             self.lost.remove(&agent);
-            let keys = self.table.outs_at(&agent);
+            let keys = self.table.runs_at(&agent);
             let runs = keys.len();
             self.log(
                 EventCode::AgentGone,
                 format!("agent={agent} runs={runs} proof=time"),
             );
             for key in keys {
-                self.run_over(key, RunOver::Again { superseded: false });
+                self.run_over(key, RunOutcome::Retry { superseded: false });
             }
         }
     }
--- a/lib/src/batch_entry/agents.rs
+++ b/lib/src/batch_entry/agents.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::{BatchEntry, Outbox};
+use super::{BatchEntryCore, Outbox};
+use crate::active_batch::BatchState;
 use crate::batch_event::EntryAction;
-use crate::batch_table::RunOver;
+use crate::batch_table::RunOutcome;
 use crate::events::EventCode;
-use crate::held_batch::BatchState;
 use crate::ids::{NodeName, SessionId};
 use crate::resources::Resources;
 use crate::run::{NotStarted, RunEnd, RunKey};
@@ -24,7 +24,7 @@
 /// Waiting tasks are counted up to this for agents.
 const MOST_COUNTED: u32 = 1_000;
 
-impl BatchEntry {
+impl BatchEntryCore {
     pub(super) fn link_up(&mut self, link: SessionId, dialled: Option<SocketAddr>) {
         if let Some(address) = dialled {
             self.directory.greet(self.now, link, address);
@@ -37,7 +37,7 @@
         let Some(view) = self.targets.leave(link) else {
             return;
         };
-        let out = self.table.outs_at(&view.agent).len();
+        let out = self.table.runs_at(&view.agent).len();
         let silent_ms = self.now.saturating_sub(view.heard).as_millis();
         let agent = view.agent;
         self.log(
@@ -89,7 +89,7 @@
             self.targets.leave(old);
             self.outboxes.remove(&old);
         }
-        let keys = self.table.outs_at(&intro.name);
+        let keys = self.table.runs_at(&intro.name);
         let stopping = keys.iter().copied();
         let stopping: Vec<RunKey> = stopping.filter(|k| self.table.is_stopping(*k)).collect();
         let claims: Vec<(RunKey, Resources)> = keys
@@ -165,12 +165,14 @@
 
     pub(super) fn run_ended(&mut self, link: SessionId, key: RunKey, end: RunEnd, ran_ms: u32) {
         let over = match end {
-            RunEnd::Done => RunOver::Done,
-            RunEnd::Failed => RunOver::Failed,
-            RunEnd::Crashed { alone } => RunOver::Crashed { alone },
-            RunEnd::Stopped | RunEnd::Lapsed | RunEnd::Lost => RunOver::Again { superseded: false },
+            RunEnd::Done => RunOutcome::Done,
+            RunEnd::Failed => RunOutcome::Failed,
+            RunEnd::Crashed { alone } => RunOutcome::Crashed { alone },
+            RunEnd::Stopped | RunEnd::Lapsed | RunEnd::Lost => {
+                RunOutcome::Retry { superseded: false }
+            }
         };
-        if over != RunOver::Done {
+        if over != RunOutcome::Done {
             let agent = self.targets.get(link).map(|v| v.agent.clone());
             let agent = agent.as_deref().unwrap_or("-");
             self.log(
@@ -222,7 +224,7 @@
             _ => {}
         }
         let superseded = reason == NotStarted::Superseded;
-        self.run_over(key, RunOver::Again { superseded });
+        self.run_over(key, RunOutcome::Retry { superseded });
     }
 
     pub(super) fn log_ejection_change(
@@ -292,7 +294,7 @@
             required_label: spec.required_label.as_deref(),
             preferred_rack: None,
             avoid: None,
-            payload_at: &batch.payload_at,
+            payload_sent_to: &batch.payload_sent_to,
             payload_cost: 0.0,
             is_idle: false,
         };
--- a/lib/src/batch_entry/callers.rs
+++ b/lib/src/batch_entry/callers.rs
@@ -5,11 +5,11 @@
 
 use rand::Rng as _;
 
-use super::BatchEntry;
+use super::BatchEntryCore;
+use crate::active_batch::{Batch, BatchState, BatchTimes, CloseReason, PlacementOrder};
 use crate::batch::{BatchSpec, Unsupported};
 use crate::batch_event::{EntryAction, Question, Refusal, Reply, Submission};
 use crate::events::EventCode;
-use crate::held_batch::{Batch, BatchState, BatchTimes, CloseReason, Turn};
 use crate::ids::RequestId;
 use crate::queue::Queue;
 use crate::room_forecast;
@@ -29,7 +29,7 @@
 /// at the soonest, and all entries know of it within a few hundred milliseconds.
 const RETRY_EVACUATED: Duration = Duration::from_secs(2);
 
-impl BatchEntry {
+impl BatchEntryCore {
     pub(super) fn queue_of(&self, host: &str, path: &str) -> Result<Arc<Queue>, Reply> {
         let Some(table) = self.directory.config().table() else {
             return Err(refused(Refusal::NoConfig));
@@ -47,7 +47,7 @@
     }
 
     /// Takes in what came before the first configuration, or refuses it after a moment.
-    pub(super) fn settle_early(&mut self) {
+    pub(super) fn settle_deferred(&mut self) {
         let has_config = self.directory.config().table().is_some();
         let settled = if has_config {
             self.early.take_all()
@@ -136,7 +136,7 @@
 
     /// Refuses a batch that would still wait for room at its last useful moment.
     fn refuse_hopeless(&mut self, spec: &BatchSpec, times: BatchTimes) -> Result<(), Reply> {
-        let turn = Turn {
+        let turn = PlacementOrder {
             is_overdue: times.is_overdue,
             due: times.due,
         };
@@ -145,7 +145,7 @@
         let Some(wait) = self.forecast.wait_for(self.now, ahead + own) else {
             return Ok(());
         };
-        let last_useful = times.in_time_until.min(times.give_up);
+        let last_useful = times.in_time_until.min(times.caller_deadline);
         let allowance = last_useful.saturating_sub(self.now);
         if wait <= allowance {
             return Ok(());
@@ -176,7 +176,11 @@
         }
         let mut hopeless = Vec::new();
         for id in self.table.in_order() {
-            let Some(batch) = self.table.get(id).filter(|b| !b.is_tried && !b.is_overdue) else {
+            let Some(batch) = self
+                .table
+                .get(id)
+                .filter(|b| !b.was_dispatched && !b.is_overdue)
+            else {
                 continue;
             };
             let left = batch.in_time_until.saturating_sub(self.now);
@@ -195,7 +199,7 @@
     pub(super) fn refuse_evacuated(&mut self) {
         let waiting: Vec<BatchId> = self.table.in_order().collect();
         for id in waiting {
-            let Some(batch) = self.table.get(id).filter(|b| !b.is_tried) else {
+            let Some(batch) = self.table.get(id).filter(|b| !b.was_dispatched) else {
                 continue;
             };
             if self.targets.is_evacuated(self.now, &batch.queue.service) {
@@ -255,9 +259,9 @@
             arrived,
             due: arrived + if is_overdue { objective } else { left },
             is_overdue,
-            give_up: arrived + patience,
+            caller_deadline: arrived + patience,
             in_time_until: arrived + slack,
-            place_by: arrived + wait.min(last_start),
+            placement_deadline: arrived + wait.min(last_start),
         }
     }
 
@@ -294,7 +298,7 @@
     pub(super) fn state_of(&self, id: BatchId) -> Reply {
         match self.table.get(id) {
             None => Reply::NoBatch,
-            Some(batch) if batch.is_tried => Reply::Running,
+            Some(batch) if batch.was_dispatched => Reply::Running,
             Some(_) => Reply::Waiting,
         }
     }
@@ -324,7 +328,7 @@
         for (key, agent) in stops {
             self.order_stop(key, &agent);
         }
-        if self.table.get(id).is_some_and(|b| b.out == 0) {
+        if self.table.get(id).is_some_and(|b| b.open_runs == 0) {
             self.closed(id);
         }
     }
@@ -334,14 +338,14 @@
         let Some(batch) = self.table.remove(id) else {
             return;
         };
-        if batch.state == BatchState::Closing(CloseReason::CallerGone) && batch.is_tried {
+        if batch.state == BatchState::Closing(CloseReason::CallerGone) && batch.was_dispatched {
             self.directory.tell_closed(self.now, id);
         }
         if let Some(request) = batch.request {
             let reply = if batch.crashes_targets() {
                 // Not to be tried anew elsewhere: it would take targets along there.
                 Reply::Failed
-            } else if batch.is_tried {
+            } else if batch.was_dispatched {
                 Reply::GaveUp
             } else if batch.state == BatchState::Closing(CloseReason::Evacuated) {
                 refused(Refusal::Evacuated)
@@ -362,7 +366,7 @@
             format!(
                 "job={id:016x} queue={queue} answer={reply:?} took_ms={took} \
                  objective_ms={objective} tried={} targets={usable}",
-                batch.is_tried
+                batch.was_dispatched
             ),
         );
         if reply == Reply::Succeeded {
@@ -394,20 +398,20 @@
             if batch.state != BatchState::Open {
                 continue;
             }
-            if batch.give_up <= self.now {
-                let out = batch.out;
+            if batch.caller_deadline <= self.now {
+                let out = batch.open_runs;
                 self.log(
                     EventCode::BatchClosed,
                     format!("job={id:016x} why=deadline out={out}"),
                 );
                 self.close(id, CloseReason::Deadline);
-            } else if batch.place_by <= self.now && !batch.is_tried {
+            } else if batch.placement_deadline <= self.now && !batch.was_dispatched {
                 if self.link_full_until.is_some() && !self.lacks_room() {
                     self.table.postpone(id, self.now + WAIT_FOR_LINK);
                 } else {
                     self.close(id, CloseReason::Deadline);
                 }
-            } else if batch.in_time_until <= self.now && !batch.is_tried {
+            } else if batch.in_time_until <= self.now && !batch.was_dispatched {
                 self.table.note_overdue(id);
             }
         }
--- a/lib/src/batch_placing.rs
+++ b/lib/src/batch_placing.rs
@@ -9,10 +9,10 @@
 
 use rand_chacha::ChaCha8Rng;
 
+use crate::active_batch::{Batch, TaskState};
 use crate::batch::StepSpec;
 use crate::batch_table::BatchTable;
-use crate::crash_suspects::CrashRecord;
-use crate::held_batch::{Batch, TaskState};
+use crate::crash_history::CrashHistory;
 use crate::ids::{HallName, NodeName, Now, SessionId};
 use crate::link_load::LinkLoad;
 use crate::run::{BatchId, RunKey, RunNumber, TaskKey};
@@ -44,7 +44,7 @@
     index: u16,
     run: RunNumber,
     avoid: Option<NodeName>,
-    crashes: CrashRecord,
+    crashes: CrashHistory,
 }
 
 /// Where a task goes.
@@ -54,7 +54,7 @@
 }
 
 /// See the module.
-pub struct Placing<'a> {
+pub struct PlacementRound<'a> {
     /// Now.
     pub now: Now,
     /// Data hall of the entry.
@@ -73,7 +73,7 @@
     pub lacked_room: bool,
 }
 
-impl Placing<'_> {
+impl PlacementRound<'_> {
     /// Places what waits of a batch; false if some of it found no room.
     pub fn place(&mut self, id: BatchId) -> bool {
         let Some(batch) = self.table.get(id) else {
@@ -108,9 +108,9 @@
 
     fn place_step(&mut self, id: BatchId, step: usize) -> bool {
         let mut by_link: BTreeMap<(SessionId, bool), Vec<(u16, RunNumber)>> = BTreeMap::new();
-        let mut payload_at = BTreeSet::new();
+        let mut payload_sent_to = BTreeSet::new();
         if let Some(batch) = self.table.get(id) {
-            payload_at.clone_from(&batch.payload_at);
+            payload_sent_to.clone_from(&batch.payload_sent_to);
         }
         let mut all_placed = true;
         for task in self.waiting(id, step) {
@@ -140,7 +140,7 @@
                 step,
                 runs,
                 alone,
-                needs_payload: !payload_at.contains(&link),
+                needs_payload: !payload_sent_to.contains(&link),
             });
         }
         all_placed
@@ -151,7 +151,7 @@
         let Some(batch) = self.table.get_mut(id) else {
             return;
         };
-        let is_new = batch.payload_at.insert(link);
+        let is_new = batch.payload_sent_to.insert(link);
         let payload = if is_new { batch.payload.len() } else { 0 };
         self.link.sent(self.now, START_BYTES + payload);
     }
@@ -193,7 +193,7 @@
         };
         self.targets.sent_start(self.now, link, taken);
         self.note_payload(id, link);
-        self.table.note_out(self.now, key, &agent);
+        self.table.record_run(self.now, key, &agent);
         Some(Place { link, alone })
     }
 
@@ -212,7 +212,7 @@
             required_label: spec.required_label.as_deref(),
             preferred_rack: spec.preferred_rack.as_deref(),
             avoid: task.avoid.as_deref(),
-            payload_at: &batch.payload_at,
+            payload_sent_to: &batch.payload_sent_to,
             payload_cost: self.payload_cost(batch, spec),
             is_idle,
         };
@@ -220,7 +220,7 @@
         let is_full = |view: &TargetView| {
             let most = spec.most_per_target;
             let has_most =
-                most.is_some_and(|most| table.step_outs_at(&view.agent, id, step as u16) >= most);
+                most.is_some_and(|most| table.step_runs_at(&view.agent, id, step as u16) >= most);
             has_most || (task.crashes.is_suspect() && table.has_suspect_at(&view.agent))
         };
         self.targets
--- a/lib/src/batch_table.rs
+++ b/lib/src/batch_table.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::held_batch::{Batch, BatchState, BatchTimes, CloseReason, Task, TaskState, Turn};
+use crate::active_batch::{
+    Batch, BatchState, BatchTimes, CloseReason, PlacementOrder, Task, TaskState,
+};
 use crate::ids::{NodeName, Now, RequestId, SessionId};
 use crate::run::{BatchId, RunKey, RunNumber};
 
@@ -13,7 +15,7 @@
 
 /// How a run is over, as it matters to its task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RunOver {
+pub enum RunOutcome {
     /// It ended well.
     Done,
     /// It failed: one of the task's attempts is used up.
@@ -24,7 +26,7 @@
         alone: bool,
     },
     /// It ended otherwise, or never began.
-    Again {
+    Retry {
         /// Whether the target has seen a higher run number.
         superseded: bool,
     },
@@ -48,7 +50,7 @@
 pub struct BatchTable {
     batches: BTreeMap<BatchId, Batch>,
     /// Batches with tasks that wait, in the order in which they are placed, and how many.
-    waiting: BTreeMap<(Turn, BatchId), u32>,
+    waiting: BTreeMap<(PlacementOrder, BatchId), u32>,
     waiting_tasks: u32,
     wakes: BTreeSet<(Now, BatchId)>,
     by_request: BTreeMap<RequestId, BatchId>,
@@ -63,8 +65,8 @@
         }
         self.set_waiting(batch.turn(), id, batch.waiting_tasks());
         self.wakes.insert((batch.in_time_until, id));
-        self.wakes.insert((batch.place_by, id));
-        self.wakes.insert((batch.give_up, id));
+        self.wakes.insert((batch.placement_deadline, id));
+        self.wakes.insert((batch.caller_deadline, id));
         self.batches.insert(id, batch);
     }
 
@@ -97,7 +99,7 @@
     pub fn pending(&self, queue_name: &str) -> usize {
         let batches = self.batches.values();
         batches
-            .filter(|b| &*b.queue.name == queue_name && !b.is_tried)
+            .filter(|b| &*b.queue.name == queue_name && !b.was_dispatched)
             .count()
     }
 
@@ -107,12 +109,12 @@
     }
 
     /// Tasks that wait in batches whose turn is before this one.
-    pub fn waiting_before(&self, turn: Turn) -> u32 {
+    pub fn waiting_before(&self, turn: PlacementOrder) -> u32 {
         let before = self.waiting.range(..(turn, BatchId::MIN));
         before.map(|(_, tasks)| *tasks).sum()
     }
 
-    fn set_waiting(&mut self, turn: Turn, id: BatchId, tasks: u32) {
+    fn set_waiting(&mut self, turn: PlacementOrder, id: BatchId, tasks: u32) {
         let before = if tasks > 0 {
             self.waiting.insert((turn, id), tasks)
         } else {
@@ -130,9 +132,9 @@
         }
         self.set_waiting(batch.turn(), id, 0);
         self.wakes.remove(&(batch.in_time_until, id));
-        self.wakes.remove(&(batch.place_by, id));
-        self.wakes.remove(&(batch.give_up, id));
-        for (key, agent) in batch.outs(id, false) {
+        self.wakes.remove(&(batch.placement_deadline, id));
+        self.wakes.remove(&(batch.caller_deadline, id));
+        for (key, agent) in batch.open_runs(id, false) {
             self.forget_out(&agent, key);
         }
         Some(batch)
@@ -161,29 +163,29 @@
             return;
         };
         self.wakes.remove(&(batch.in_time_until, id));
-        self.wakes.remove(&(batch.place_by, id));
-        self.wakes.remove(&(batch.give_up, id));
+        self.wakes.remove(&(batch.placement_deadline, id));
+        self.wakes.remove(&(batch.caller_deadline, id));
         batch.request = Some(request);
         batch.state = BatchState::Open;
         batch.arrived = times.arrived;
         batch.due = times.due;
         batch.is_overdue = times.is_overdue;
-        batch.give_up = times.give_up;
+        batch.caller_deadline = times.caller_deadline;
         batch.in_time_until = times.in_time_until;
-        batch.place_by = times.place_by;
+        batch.placement_deadline = times.placement_deadline;
         self.by_request.insert(request, id);
         self.wakes.insert((times.in_time_until, id));
-        self.wakes.insert((times.place_by, id));
-        self.wakes.insert((times.give_up, id));
+        self.wakes.insert((times.placement_deadline, id));
+        self.wakes.insert((times.caller_deadline, id));
         self.note_waiting(id);
     }
 
     /// Lets a batch of which nothing has been placed wait for longer.
-    pub fn postpone(&mut self, id: BatchId, place_by: Now) {
+    pub fn postpone(&mut self, id: BatchId, placement_deadline: Now) {
         if let Some(batch) = self.batches.get_mut(&id) {
-            self.wakes.remove(&(batch.place_by, id));
-            batch.place_by = place_by;
-            self.wakes.insert((place_by, id));
+            self.wakes.remove(&(batch.placement_deadline, id));
+            batch.placement_deadline = placement_deadline;
+            self.wakes.insert((placement_deadline, id));
         }
     }
 
@@ -236,20 +238,20 @@
     }
 
     /// Notes that a task is out.
-    pub fn note_out(&mut self, now: Now, key: RunKey, agent: &NodeName) {
+    pub fn record_run(&mut self, now: Now, key: RunKey, agent: &NodeName) {
         let Some(batch) = self.batches.get_mut(&key.task.batch) else {
             return;
         };
         let Some(task) = batch.task_mut(key) else {
             return;
         };
-        task.state = TaskState::Out {
+        task.state = TaskState::Assigned {
             agent: agent.clone(),
             sent: now,
             stopping: false,
         };
-        batch.out += 1;
-        batch.is_tried = true;
+        batch.open_runs += 1;
+        batch.was_dispatched = true;
         self.by_agent.entry(agent.clone()).or_default().insert(key);
     }
 
@@ -260,26 +262,26 @@
     }
 
     /// Runs that are out at an agent.
-    pub fn outs_at(&self, agent: &str) -> Vec<RunKey> {
+    pub fn runs_at(&self, agent: &str) -> Vec<RunKey> {
         let keys = self.by_agent.get(agent);
         keys.map(|k| k.iter().copied().collect())
             .unwrap_or_default()
     }
 
     /// Whether anything is out at an agent.
-    pub fn has_outs_at(&self, agent: &str) -> bool {
+    pub fn has_runs_at(&self, agent: &str) -> bool {
         self.by_agent.get(agent).is_some_and(|k| !k.is_empty())
     }
 
     /// Tasks of a step that are out at an agent.
-    pub fn step_outs_at(&self, agent: &str, batch: BatchId, step: u16) -> u32 {
+    pub fn step_runs_at(&self, agent: &str, batch: BatchId, step: u16) -> u32 {
         let keys = self.by_agent.get(agent);
         let of_step = |k: &&RunKey| k.task.batch == batch && k.task.step == step;
         keys.map_or(0, |k| k.iter().filter(of_step).count() as u32)
     }
 
     /// Takes in that a run is over, on proof.
-    pub fn run_over(&mut self, key: RunKey, over: RunOver) -> BatchNews {
+    pub fn run_over(&mut self, key: RunKey, over: RunOutcome) -> BatchNews {
         let id = key.task.batch;
         let Some(batch) = self.batches.get_mut(&id) else {
             return BatchNews::None;
@@ -288,34 +290,34 @@
         let Some(task) = batch.task_mut(key) else {
             return BatchNews::None;
         };
-        let TaskState::Out { agent, .. } = task.state.clone() else {
+        let TaskState::Assigned { agent, .. } = task.state.clone() else {
             return BatchNews::None;
         };
         task.run += 1;
         task.state = TaskState::Waiting;
         let mut failed = false;
         match over {
-            RunOver::Done => task.state = TaskState::Done,
-            RunOver::Failed => {
+            RunOutcome::Done => task.state = TaskState::Done,
+            RunOutcome::Failed => {
                 task.failures += 1;
                 task.avoid = Some(agent.clone());
                 failed = task.failures >= most_attempts;
             }
-            RunOver::Crashed { alone } => {
+            RunOutcome::Crashed { alone } => {
                 task.avoid = Some(agent.clone());
                 failed = task.crashes.note(alone);
             }
-            RunOver::Again { superseded: true } => task.run += RUN_NUMBER_JUMP,
-            RunOver::Again { superseded: false } => {}
+            RunOutcome::Retry { superseded: true } => task.run += RUN_NUMBER_JUMP,
+            RunOutcome::Retry { superseded: false } => {}
         }
-        batch.out -= 1;
-        if over == RunOver::Done {
+        batch.open_runs -= 1;
+        if over == RunOutcome::Done {
             batch.steps[usize::from(key.task.step)].left -= 1;
         }
         let news = match batch.state {
             BatchState::Open if batch.is_done() => BatchNews::Done,
             BatchState::Open if failed => BatchNews::Failed,
-            BatchState::Closing(_) if batch.out == 0 => BatchNews::Closed,
+            BatchState::Closing(_) if batch.open_runs == 0 => BatchNews::Closed,
             _ => BatchNews::None,
         };
         self.forget_out(&agent, key);
@@ -349,7 +351,7 @@
         matches!(
             self.task(key),
             Some(Task {
-                state: TaskState::Out { stopping: true, .. },
+                state: TaskState::Assigned { stopping: true, .. },
                 ..
             })
         )
@@ -369,7 +371,7 @@
     pub fn note_stopping(&mut self, key: RunKey) -> Option<NodeName> {
         let batch = self.batches.get_mut(&key.task.batch)?;
         let task = batch.task_mut(key)?;
-        let TaskState::Out {
+        let TaskState::Assigned {
             agent, stopping, ..
         } = &mut task.state
         else {
@@ -389,7 +391,7 @@
             return Vec::new();
         };
         batch.state = BatchState::Closing(reason);
-        let live = batch.outs(id, true);
+        let live = batch.open_runs(id, true);
         self.note_waiting(id);
         for (key, _) in &live {
             self.note_stopping(*key);
@@ -400,7 +402,7 @@
     /// Notes that an agent has forgotten a batch's payload.
     pub fn forget_payload(&mut self, id: BatchId, link: SessionId) {
         if let Some(batch) = self.batches.get_mut(&id) {
-            batch.payload_at.remove(&link);
+            batch.payload_sent_to.remove(&link);
         }
     }
 
--- a/lib/src/crash_suspects.rs
+++ b/lib/src/crash_history.rs
@@ -13,11 +13,11 @@
 
 /// What is known of a task's part in crashes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct CrashRecord {
+pub struct CrashHistory {
     crashes: u32,
 }
 
-impl CrashRecord {
+impl CrashHistory {
     /// Notes a crash of a target that had a run of the task, and whether it had no other; says
     /// whether the task is to be given up.
     pub fn note(&mut self, alone: bool) -> bool {
--- a/lib/src/early_batches.rs
+++ b/lib/src/deferred_batches.rs
@@ -17,11 +17,11 @@
 
 /// See the module.
 #[derive(Debug, Default)]
-pub struct EarlyBatches {
+pub struct DeferredBatches {
     held: VecDeque<(Now, Submission)>,
 }
 
-impl EarlyBatches {
+impl DeferredBatches {
     /// Whether another batch may be held.
     pub fn has_room(&self) -> bool {
         self.held.len() < MOST_HELD
--- a/lib/src/entry_directory.rs
+++ b/lib/src/entry_directory.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use crate::batch_event::{EntryAction, EntryOptions};
-use crate::closing_elsewhere::ClosingElsewhere;
 use crate::config_fetch::ConfigFetch;
 use crate::evacuations::{EvacuatedHalls, EvacuationsInForce, Offered};
 use crate::events::{EventCode, LogEvent};
 use crate::ids::{Now, SessionId};
+use crate::peer_closings::PeerClosings;
 use crate::peer_table::PeerTable;
 use crate::preferred_entries::{FULL_MESH_LIMIT, LinkStep, PREFERRED_COUNT, PreferredEntries};
 use crate::queue::{ConfigInForce, ConfigVersion, QueueTable};
@@ -60,7 +60,7 @@
     peers: PeerTable,
     neighbours: PreferredEntries,
     config_fetch: ConfigFetch,
-    elsewhere: ClosingElsewhere,
+    elsewhere: PeerClosings,
     /// Batches that are being closed here.
     closing_here: BTreeSet<BatchId>,
     out: Vec<EntryAction>,
@@ -79,7 +79,7 @@
             peers: PeerTable::default(),
             neighbours,
             config_fetch: ConfigFetch::default(),
-            elsewhere: ClosingElsewhere::default(),
+            elsewhere: PeerClosings::default(),
             closing_here: BTreeSet::new(),
             out: Vec::new(),
         }
@@ -102,8 +102,8 @@
     }
 
     /// Whether a batch must wait until another entry has closed it.
-    pub fn is_closing_elsewhere(&self, now: Now, id: BatchId) -> bool {
-        self.elsewhere.held_until(now, id).is_some()
+    pub fn is_closing_at_peer(&self, now: Now, id: BatchId) -> bool {
+        self.elsewhere.blocked_until(now, id).is_some()
     }
 
     /// All entries known, this one included.
--- a/lib/src/entry_node.rs
+++ b/lib/src/entry_node.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, oneshot};
 
-use crate::batch_entry::BatchEntry;
+use crate::batch_entry::BatchEntryCore;
 use crate::batch_event::{EntryAction, EntryEvent, EntryOptions, Reply};
 use crate::clock::Instant;
 use crate::evacuations::EvacuationReader;
@@ -33,7 +33,7 @@
 /// See the module.
 pub struct EntryNode {
     me: Weak<EntryNode>,
-    core: RefCell<BatchEntry>,
+    core: RefCell<BatchEntryCore>,
     timer: Rc<WakeTimer>,
     links: Rc<NodeLinks>,
     replies: RefCell<HashMap<RequestId, oneshot::Sender<Reply>>>,
@@ -48,7 +48,7 @@
         let timer = WakeTimer::new(Instant::now());
         let node = Rc::new_cyclic(|me: &Weak<Self>| Self {
             me: me.clone(),
-            core: RefCell::new(BatchEntry::new(options)),
+            core: RefCell::new(BatchEntryCore::new(options)),
             timer: timer.clone(),
             links: NodeLinks::new(),
             replies: RefCell::default(),
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -14,7 +14,7 @@
 //!
 //! - words: [`clock`], [`resources`], [`run`], [`queue`], [`batch`], [`payload`], [`run_message`];
 //! - state: [`answer_time`], [`payload_cache`], [`entry_discovery`], [`run_table`], [`target_lease`], [`room_shares`], [`room_forecast`], [`entry_leases`],
-//!   [`preferred_entries`], [`evacuations`], [`link_load`], [`crash_suspects`], [`batch_table`], [`target_registry`], [`peer_table`], [`closing_elsewhere`], [`config_fetch`], [`early_batches`],
+//!   [`preferred_entries`], [`evacuations`], [`link_load`], [`crash_history`], [`batch_table`], [`target_registry`], [`peer_table`], [`peer_closings`], [`config_fetch`], [`deferred_batches`],
 //!   [`entry_directory`], [`entry_drain`];
 //! - the cores: [`batch_entry`] and [`run_agent`], with what they are told and want done in
 //!   [`batch_event`] and [`run_event`], and the choice of targets in [`batch_placing`];
@@ -35,16 +35,17 @@
 pub mod batch_placing;
 pub mod batch_table;
 pub mod clock;
-pub mod closing_elsewhere;
+pub mod peer_closings;
 
+pub mod active_batch;
 pub mod codec;
 pub mod config_chain;
 pub mod config_document;
 pub mod config_fetch;
 pub mod core_thread;
 pub mod counters;
-pub mod crash_suspects;
-pub mod early_batches;
+pub mod crash_history;
+pub mod deferred_batches;
 pub mod entry;
 pub mod entry_daemon;
 pub mod entry_directory;
@@ -65,7 +66,6 @@
 pub mod figures;
 pub mod frame_order;
 pub mod health;
-pub mod held_batch;
 pub mod http_answer;
 pub mod http_api;
 pub mod http_platform;
--- a/lib/src/closing_elsewhere.rs
+++ b/lib/src/peer_closings.rs
@@ -27,11 +27,11 @@
 
 /// See the module.
 #[derive(Debug, Default)]
-pub struct ClosingElsewhere {
+pub struct PeerClosings {
     notices: BTreeMap<ClosingBatch, Notice>,
 }
 
-impl ClosingElsewhere {
+impl PeerClosings {
     /// Notes that a batch is being closed at another entry, which takes `bound` at the most; says
     /// whether that is news.
     pub fn note(&mut self, now: Now, closing: ClosingBatch, bound: Duration) -> bool {
@@ -81,7 +81,7 @@
     }
 
     /// Until when a batch must be held, if it must.
-    pub fn held_until(&self, now: Now, id: BatchId) -> Option<Now> {
+    pub fn blocked_until(&self, now: Now, id: BatchId) -> Option<Now> {
         let of = |entry| ClosingBatch { batch: id, entry };
         let notices = self.notices.range(of(u64::MIN)..=of(u64::MAX));
         let open = notices.filter(|(_, notice)| !notice.is_over);
--- a/lib/src/run_agent.rs
+++ b/lib/src/run_agent.rs
@@ -42,7 +42,7 @@
 const CATCH_UP: Duration = Duration::from_millis(4);
 
 /// State of an agent.
-pub struct RunAgent {
+pub struct RunAgentCore {
     options: AgentOptions,
     now: Now,
     out: Vec<AgentAction>,
@@ -74,7 +74,7 @@
     exited: bool,
 }
 
-impl RunAgent {
+impl RunAgentCore {
     /// A new life of an agent, at time `now` of its own clock.
     pub fn new(now: Now, options: AgentOptions) -> Self {
         let lease = TargetLease::new(now, &options.timings, options.token);
--- a/lib/src/run_agent/evacuation.rs
+++ b/lib/src/run_agent/evacuation.rs
@@ -2,13 +2,13 @@
 
 use std::sync::Arc;
 
-use super::RunAgent;
+use super::RunAgentCore;
 use crate::evacuations::{EvacuatedHalls, Offered};
 use crate::events::EventCode;
 use crate::ids::Now;
 use crate::run_event::AgentAction;
 
-impl RunAgent {
+impl RunAgentCore {
     /// Whether the target may get no new work, for its hall is evacuated.
     pub(super) fn is_evacuated(&self) -> bool {
         self.evacuations.contains(&self.options.hall)
--- a/lib/src/run_agent/incarnations.rs
+++ b/lib/src/run_agent/incarnations.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::RunAgent;
+use super::RunAgentCore;
 use crate::events::EventCode;
 use crate::run_event::{AgentAction, IncarnationAnswer, TargetReport};
 use crate::run_message::{AgentNews, TargetInfo};
@@ -14,7 +14,7 @@
 /// step is ten seconds, so a clock that was an hour ahead is passed in 2 s.
 const FENCED_PAUSE: Duration = Duration::from_millis(5);
 
-impl RunAgent {
+impl RunAgentCore {
     pub(super) fn report(&mut self, report: TargetReport) {
         let life = report.info.life.clone();
         let (number, leaving) = (report.sequence, report.info.leaving);
--- a/lib/src/run_agent/lists.rs
+++ b/lib/src/run_agent/lists.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{CATCH_UP, RunAgent};
+use super::{CATCH_UP, RunAgentCore};
 use crate::events::EventCode;
 use crate::ids::Now;
 use crate::run::{RunEnd, RunKey};
@@ -28,7 +28,7 @@
 /// Longest wait of a renewal while an answer is awaited elsewhere.
 const CALM_WAIT: Duration = Duration::from_secs(1);
 
-impl RunAgent {
+impl RunAgentCore {
     pub(super) fn push_renewal(&mut self, renewal: Renewal) {
         let life = self.lives.current_name();
         self.out.push(AgentAction::Renew {
--- a/lib/src/run_agent/starts.rs
+++ b/lib/src/run_agent/starts.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{CATCH_UP, RunAgent};
+use super::{CATCH_UP, RunAgentCore};
 use crate::events::EventCode;
 use crate::ids::{Incarnation, Now, SessionId};
 use crate::run::{NotStarted, RunEnd, RunKey};
@@ -19,7 +19,7 @@
 /// takes at a busy target, and a third of the shortest usual task.
 pub(super) const LEAST_START_LIMIT: Duration = Duration::from_millis(20);
 
-impl RunAgent {
+impl RunAgentCore {
     /// When a start on the way counts as unanswered.
     pub(super) fn answer_by(&self, run: &Run) -> Option<Now> {
         let Phase::Starting { sent, .. } = run.phase else {
--- a/lib/src/target_registry.rs
+++ b/lib/src/target_registry.rs
@@ -105,7 +105,7 @@
     /// Agent to avoid, for it has just served the task badly.
     pub avoid: Option<&'a str>,
     /// Links on which the batch's payload was sent.
-    pub payload_at: &'a BTreeSet<SessionId>,
+    pub payload_sent_to: &'a BTreeSet<SessionId>,
     /// Cost of sending it on another one, as a share of the run time.
     pub payload_cost: f64,
     /// Whether nothing else may run there.
@@ -386,7 +386,7 @@
             let chance = rng.random_range(0.97..1.03);
             let doubt = view.staleness(now) * rng.random_range(0.0..STALE_COST);
             let mut cost = view.cost(need, hall) * chance + doubt;
-            if !need.payload_at.contains(link) {
+            if !need.payload_sent_to.contains(link) {
                 cost += need.payload_cost;
             }
             if best.is_none_or(|(least, _)| cost < least) {
--- a/lib/tests/test_batch_entry.rs
+++ b/lib/tests/test_batch_entry.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use trestleknot_lib::active_batch::{Batch, BatchTimes};
 use trestleknot_lib::batch::{BatchSpec, StepSpec, Unsupported};
-use trestleknot_lib::batch_entry::BatchEntry;
+use trestleknot_lib::batch_entry::BatchEntryCore;
 use trestleknot_lib::batch_event::{
     EntryAction, EntryEvent, EntryOptions, Refusal, Reply, Submission,
 };
 use trestleknot_lib::evacuations::EvacuatedHalls;
-use trestleknot_lib::held_batch::{Batch, BatchTimes};
 use trestleknot_lib::ids::{Now, RequestId, SessionId};
 use trestleknot_lib::queue::{Queue, QueueTable, RequestLimits};
 use trestleknot_lib::resources::Resources;
@@ -27,13 +27,13 @@
     Duration::from_millis(millis)
 }
 
-fn entry() -> BatchEntry {
+fn entry() -> BatchEntryCore {
     entry_with_link(None)
 }
 
 /// An entry whose link carries so many bytes a second.
-fn entry_with_link(link_rate: Option<f64>) -> BatchEntry {
-    BatchEntry::new(EntryOptions {
+fn entry_with_link(link_rate: Option<f64>) -> BatchEntryCore {
+    BatchEntryCore::new(EntryOptions {
         name: "entry".into(),
         incarnation: 1,
         hall: "hall".into(),
@@ -179,7 +179,7 @@
 }
 
 /// Has an agent with a target of the queue's service join on a link, from a hall.
-fn join(entry: &mut BatchEntry, now: Now, link: SessionId, hall: &str) -> Vec<EntryAction> {
+fn join(entry: &mut BatchEntryCore, now: Now, link: SessionId, hall: &str) -> Vec<EntryAction> {
     let intro = AgentIntro {
         name: format!("agent-{link}").into(),
         life: link,
@@ -393,7 +393,12 @@
     starts
 }
 
-fn not_started(entry: &mut BatchEntry, now: Now, reason: NotStarted, run: u32) -> Vec<EntryAction> {
+fn not_started(
+    entry: &mut BatchEntryCore,
+    now: Now,
+    reason: NotStarted,
+    run: u32,
+) -> Vec<EntryAction> {
     let task = TaskKey {
         batch: 5,
         time: 0,
@@ -465,9 +470,9 @@
         arrived: ms(0),
         due: ms(100),
         is_overdue: false,
-        give_up: ms(2_000),
+        caller_deadline: ms(2_000),
         in_time_until: ms(50),
-        place_by: ms(50),
+        placement_deadline: ms(50),
     };
     let queue = table.queues[0].clone();
     let mut batch = Batch::new(&submission.spec, "work".into(), queue, 1, times);
--- a/lib/tests/test_entry_directory.rs
+++ b/lib/tests/test_entry_directory.rs
@@ -211,7 +211,7 @@
     fn hold(&self, batch: BatchId) -> usize {
         let entries = self.entries.iter().zip(&self.alive);
         let holds = |(entry, alive): &(&EntryDirectory, &bool)| {
-            **alive && entry.is_closing_elsewhere(self.now, batch)
+            **alive && entry.is_closing_at_peer(self.now, batch)
         };
         entries.filter(holds).count()
     }
--- a/lib/tests/test_run_agent/crashes.rs
+++ b/lib/tests/test_run_agent/crashes.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// An agent on whose target runs of its entry go, from 12 ms on.
-fn agent_with_runs(count: u16) -> RunAgent {
+fn agent_with_runs(count: u16) -> RunAgentCore {
     let mut agent = ready_agent();
     for index in 0..count {
         agent.handle(ms(10), packet(60_000, vec![start(index, 5_000)]));
@@ -33,7 +33,7 @@
 }
 
 /// Answers every renewal in this way until nothing runs any more; gives the ends that were told.
-fn ends_if_renewals_are(mut agent: RunAgent, answer: &RenewalAnswer) -> Vec<RunEnd> {
+fn ends_if_renewals_are(mut agent: RunAgentCore, answer: &RenewalAnswer) -> Vec<RunEnd> {
     let mut actions = agent.handle(ms(13), AgentEvent::Wake);
     // The renewal that waits since the first start has a low number.
     let mut numbers: Vec<u64> = (1..10).collect();
--- a/lib/tests/test_run_agent/incarnations.rs
+++ b/lib/tests/test_run_agent/incarnations.rs
@@ -33,7 +33,7 @@
 }
 
 /// An agent on whose target a run of its entry goes, started at 12 ms.
-fn agent_with_run() -> RunAgent {
+fn agent_with_run() -> RunAgentCore {
     let mut agent = ready_agent();
     agent.handle(ms(10), packet(60_000, vec![start(0, 5_000)]));
     let started = AgentEvent::StartAnswered {
@@ -193,7 +193,7 @@
 #[test]
 fn test_handle_target_is_offered_once_its_lists_are_read() {
     // An entry that is told of it sooner says that it is ready, and has no room for its first batches.
-    let mut agent = RunAgent::new(Now::ZERO, options());
+    let mut agent = RunAgentCore::new(Now::ZERO, options());
     let actions = agent.handle(ms(1), AgentEvent::LinkUp(LINK, address(1)));
     assert_eq!(targets_told(&actions), [None]);
     let actions = agent.handle(ms(2), report("life-1", false, 1));
--- a/lib/tests/test_run_agent/leases.rs
+++ b/lib/tests/test_run_agent/leases.rs
@@ -195,8 +195,8 @@
 
 /// A new life of an agent whose target runs something of an earlier life's, read at 2 ms. Gives
 /// the actions with it.
-fn agent_with_adopted_run() -> (RunAgent, Vec<AgentAction>) {
-    let mut agent = RunAgent::new(Now::ZERO, options());
+fn agent_with_adopted_run() -> (RunAgentCore, Vec<AgentAction>) {
+    let mut agent = RunAgentCore::new(Now::ZERO, options());
     let actions = agent.handle(ms(1), AgentEvent::Wake);
     let number = renewals(&actions)[0];
     let answer = running(&[key(0)]);
@@ -267,7 +267,7 @@
 fn test_handle_stop_before_the_lists_are_read_proves_nothing() {
     // A new life of the agent, beside a target that still runs what an earlier life started.
     let key = key(0);
-    let mut agent = RunAgent::new(Now::ZERO, options());
+    let mut agent = RunAgentCore::new(Now::ZERO, options());
     agent.handle(ms(1), AgentEvent::LinkUp(LINK, address(1)));
     let welcome = Welcome {
         name: "entry".into(),
--- a/lib/tests/test_run_agent/main.rs
+++ b/lib/tests/test_run_agent/main.rs
@@ -18,7 +18,7 @@
 use trestleknot_lib::payload::Payload;
 use trestleknot_lib::resources::Resources;
 use trestleknot_lib::run::{NotStarted, RunEnd, RunKey, TaskKey};
-use trestleknot_lib::run_agent::RunAgent;
+use trestleknot_lib::run_agent::RunAgentCore;
 use trestleknot_lib::run_event::{
     AgentAction, AgentEvent, AgentOptions, IncarnationAnswer, RenewalAnswer, StartAnswer,
     StartCall, TargetReport,
@@ -119,8 +119,8 @@
 }
 
 /// An agent with a target whose lists it has read, and one entry.
-fn ready_agent() -> RunAgent {
-    let mut agent = RunAgent::new(Now::ZERO, options());
+fn ready_agent() -> RunAgentCore {
+    let mut agent = RunAgentCore::new(Now::ZERO, options());
     let actions = agent.handle(ms(1), report("life-1", false, 1));
     let (number, life) = questions(&actions)[0];
     assert_eq!(life, "life-1");
@@ -218,7 +218,7 @@
 }
 
 /// Starts that the target answers within 2 ms each, until 192 ms.
-fn teach_quick_answers(agent: &mut RunAgent) {
+fn teach_quick_answers(agent: &mut RunAgentCore) {
     for index in 1..20 {
         let at = ms(10 * u64::from(index));
         agent.handle(at, packet(60_000, vec![start(index, 5_000)]));
--- a/lib/tests/test_run_agent/room.rs
+++ b/lib/tests/test_run_agent/room.rs
@@ -17,7 +17,7 @@
 }
 
 /// An agent on whose target four runs go, which take half of its room.
-fn half_full_agent() -> RunAgent {
+fn half_full_agent() -> RunAgentCore {
     let mut agent = ready_agent();
     for index in 0..4 {
         agent.handle(ms(10), packet(60_000, vec![start(index, 5_000)]));
--- a/lib/tests/test_target_registry.rs
+++ b/lib/tests/test_target_registry.rs
@@ -103,7 +103,7 @@
             required_label: None,
             preferred_rack: None,
             avoid: None,
-            payload_at: &BTreeSet::new(),
+            payload_sent_to: &BTreeSet::new(),
             payload_cost: 0.0,
             is_idle: false,
         };
@@ -175,7 +175,7 @@
             required_label: None,
             preferred_rack: None,
             avoid: None,
-            payload_at: &BTreeSet::new(),
+            payload_sent_to: &BTreeSet::new(),
             payload_cost: 0.0,
             is_idle: false,
         };
--- a/lib/testutils/src/run_fleet.rs
+++ b/lib/testutils/src/run_fleet.rs
@@ -28,7 +28,7 @@
 
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
-use trestleknot_lib::batch_entry::BatchEntry;
+use trestleknot_lib::batch_entry::BatchEntryCore;
 use trestleknot_lib::batch_event::{EntryAction, EntryEvent, EntryOptions, Reply, Submission};
 use trestleknot_lib::evacuations::EvacuatedHalls;
 use trestleknot_lib::events::LogEvent;
@@ -36,7 +36,7 @@
 use trestleknot_lib::queue::{Queue, QueueTable, RequestLimits};
 use trestleknot_lib::resources::Resources;
 use trestleknot_lib::run::BatchId;
-use trestleknot_lib::run_agent::RunAgent;
+use trestleknot_lib::run_agent::RunAgentCore;
 use trestleknot_lib::run_event::{AgentAction, AgentEvent, AgentOptions, TargetReport};
 use trestleknot_lib::run_message::Packet;
 use trestleknot_lib::target_incarnation::TargetIncarnation;
@@ -128,8 +128,8 @@
     queue: BinaryHeap<Reverse<Timed>>,
     next_number: u64,
     rng: ChaCha8Rng,
-    entries: Vec<Process<BatchEntry>>,
-    agents: Vec<Process<RunAgent>>,
+    entries: Vec<Process<BatchEntryCore>>,
+    agents: Vec<Process<RunAgentCore>>,
     links: Links,
     targets: Vec<targets::Served>,
     /// Callers by their batch.
@@ -445,7 +445,7 @@
                     link_rate: self.shape.entry_link_mbps.map(|mbps| mbps * 1e6 / 8.0),
                 };
                 let process = &mut self.entries[i];
-                process.core = Some(BatchEntry::new(options));
+                process.core = Some(BatchEntryCore::new(options));
                 process.life = life;
                 process.born = self.now;
                 process.uncounted = Duration::ZERO;
@@ -467,7 +467,7 @@
                     evacuation_bound: self.shape.evacuation_bound,
                 };
                 let process = &mut self.agents[i];
-                process.core = Some(RunAgent::new(Now::ZERO, options));
+                process.core = Some(RunAgentCore::new(Now::ZERO, options));
                 process.untold_sleep = Duration::ZERO;
                 process.life = life;
                 process.born = self.now;
--- a/lib/testutils/src/run_fleet/process.rs
+++ b/lib/testutils/src/run_fleet/process.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use trestleknot_lib::batch_entry::BatchEntry;
+use trestleknot_lib::batch_entry::BatchEntryCore;
 use trestleknot_lib::ids::Now;
-use trestleknot_lib::run_agent::RunAgent;
+use trestleknot_lib::run_agent::RunAgentCore;
 
 /// A process and its life.
 pub(super) struct Process<C> {
@@ -43,15 +43,15 @@
     fn next_wake(&self) -> Option<Now>;
 }
 
-impl Wakes for BatchEntry {
+impl Wakes for BatchEntryCore {
     fn next_wake(&self) -> Option<Now> {
-        BatchEntry::next_wake(self)
+        BatchEntryCore::next_wake(self)
     }
 }
 
-impl Wakes for RunAgent {
+impl Wakes for RunAgentCore {
     fn next_wake(&self) -> Option<Now> {
-        RunAgent::next_wake(self)
+        RunAgentCore::next_wake(self)
     }
 }
 
