--- a/lib/src/answer_time.rs
+++ b/lib/src/adaptive_timeout.rs
@@ -14,14 +14,14 @@
 
 /// See the module.
 #[derive(Debug, Clone, Copy)]
-pub struct AnswerTime {
+pub struct AdaptiveTimeout {
     least: Duration,
     most: Duration,
     /// Mean and deviation; none before the first answer.
     estimate: Option<(Duration, Duration)>,
 }
 
-impl AnswerTime {
+impl AdaptiveTimeout {
     /// An estimate whose limit stays between `least` and `most`.
     pub fn new(least: Duration, most: Duration) -> Self {
         Self {
--- a/lib/src/standing_queue.rs
+++ b/lib/src/backlog_monitor.rs
@@ -17,11 +17,11 @@
 
 /// See the module.
 #[derive(Debug, Default)]
-pub struct StandingQueue {
+pub struct BacklogMonitor {
     since: Option<Now>,
 }
 
-impl StandingQueue {
+impl BacklogMonitor {
     /// Notes whether any batch waits.
     pub fn note(&mut self, now: Now, has_waiting: bool) {
         if has_waiting {
--- a/lib/src/batch_entry.rs
+++ b/lib/src/batch_entry.rs
@@ -15,6 +15,7 @@
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
 
+use crate::backlog_monitor::BacklogMonitor;
 use crate::batch_event::{EntryAction, EntryEvent, EntryLevels, EntryOptions, Reply};
 use crate::batch_placing::{Placed, PlacementRound};
 use crate::batch_table::{BatchNews, BatchTable, RunOutcome};
@@ -25,12 +26,11 @@
 use crate::ids::{NodeName, Now, SessionId};
 use crate::link_load::LinkLoad;
 use crate::payload::PayloadPacker;
-use crate::room_forecast::RoomForecast;
+use crate::retry_detector::RetryDetector;
 use crate::run::{BatchId, RunKey};
 use crate::run_message::{AgentMillis, Order, Packet, PeerPacket, StartOrder};
-use crate::standing_queue::StandingQueue;
 use crate::target_registry::TargetRegistry;
-use crate::usual_patience::UsualPatience;
+use crate::wait_forecast::WaitForecast;
 
 /// Batches in a row that find no room before the rest is left for later.
 const MOST_MISSES: u32 = 6;
@@ -67,9 +67,9 @@
     needs_placing: bool,
     drain: EntryDrain,
     early: DeferredBatches,
-    usual_patience: UsualPatience,
-    standing: StandingQueue,
-    forecast: RoomForecast,
+    retry_detector: RetryDetector,
+    standing: BacklogMonitor,
+    forecast: WaitForecast,
     link: LinkLoad,
     /// When a task last found no target with room.
     lacked_room: Option<Now>,
@@ -95,9 +95,9 @@
             needs_placing: false,
             drain: EntryDrain::new(&options.timings),
             early: DeferredBatches::default(),
-            usual_patience: UsualPatience::default(),
-            standing: StandingQueue::default(),
-            forecast: RoomForecast::default(),
+            retry_detector: RetryDetector::default(),
+            standing: BacklogMonitor::default(),
+            forecast: WaitForecast::default(),
             link: LinkLoad::new(options.link_rate),
             lacked_room: None,
             link_full_until: None,
--- a/lib/src/batch_entry/callers.rs
+++ b/lib/src/batch_entry/callers.rs
@@ -12,8 +12,8 @@
 use crate::events::EventCode;
 use crate::ids::RequestId;
 use crate::queue::Queue;
-use crate::room_forecast;
 use crate::run::BatchId;
+use crate::wait_forecast;
 
 /// How much longer than estimated work may take on the slowest sound targets. What the objective
 /// leaves beyond that is a batch's slack; what waits longer would be late and make others late.
@@ -102,13 +102,13 @@
             return Err(refused(Refusal::Draining));
         }
         if let Some(table) = self.directory.config().table() {
-            self.usual_patience.forget_unconfigured(&table.queues);
+            self.retry_detector.forget_unconfigured(&table.queues);
         }
         let caller_return = self.options.timings.caller_return;
-        let is_returning = self
-            .usual_patience
-            .is_returning(&queue.name, patience, caller_return);
-        let times = self.times_of(&spec, &queue, patience, is_returning);
+        let is_retry = self
+            .retry_detector
+            .is_retry(&queue.name, patience, caller_return);
+        let times = self.times_of(&spec, &queue, patience, is_retry);
         if self.table.get(spec.id).is_some() {
             return self.admit_again(&spec, request, times, &caller_request);
         }
@@ -120,7 +120,7 @@
             EventCode::BatchAdmitted,
             format!(
                 "job={:016x} request={caller_request} queue={} tasks={tasks} due_ms={due_ms} \
-                 patience_ms={} returning={is_returning} config={} targets={usable} held={}",
+                 patience_ms={} returning={is_retry} config={} targets={usable} held={}",
                 spec.id,
                 queue.name,
                 patience.as_millis(),
@@ -164,7 +164,7 @@
         let chance = self.rng.random_range(0.0..1.0);
         Reply::Refused {
             why: Refusal::Busy,
-            retry_after: Some(room_forecast::return_after(pause, chance)),
+            retry_after: Some(wait_forecast::return_after(pause, chance)),
         }
     }
 
@@ -236,7 +236,7 @@
         spec: &BatchSpec,
         queue: &Queue,
         patience: Duration,
-        is_returning: bool,
+        is_retry: bool,
     ) -> BatchTimes {
         let arrived = self.now;
         let chain = spec.longest_chain();
@@ -246,7 +246,7 @@
         if self.targets.usable(self.now) == 0 {
             wait = wait.max(WAIT_FOR_TARGETS);
         }
-        let age = if is_returning {
+        let age = if is_retry {
             self.options.timings.caller_return
         } else {
             Duration::ZERO
--- a/lib/src/room_shares.rs
+++ b/lib/src/capacity_shares.rs
@@ -26,7 +26,7 @@
 
 /// What a target has free.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Room {
+pub struct FreeCapacity {
     /// All of it.
     pub free: Resources,
     /// What a task takes as a rule.
@@ -45,11 +45,11 @@
 
 /// See the module.
 #[derive(Debug, Default)]
-pub struct RoomShares {
+pub struct CapacityShares {
     turns: BTreeMap<SessionId, Turn>,
 }
 
-impl RoomShares {
+impl CapacityShares {
     /// Forgets a link.
     pub fn leave(&mut self, link: SessionId) {
         self.turns.remove(&link);
@@ -68,7 +68,7 @@
     }
 
     /// What each entry may take for free, in the order of `demands`.
-    pub fn share(&mut self, now: Now, room: Room, demands: &[Demand]) -> Vec<Resources> {
+    pub fn share(&mut self, now: Now, room: FreeCapacity, demands: &[Demand]) -> Vec<Resources> {
         let hungry = demands.iter().filter(|d| d.waiting > 0).count() as u64;
         let places = room.place.times_in(room.free);
         if hungry <= 1 {
--- a/lib/src/entry_leases.rs
+++ b/lib/src/entry_leases.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use crate::capacity_shares::{CapacityShares, Demand, FreeCapacity};
 use crate::ids::{Incarnation, NodeName, Now, SessionId};
 use crate::resources::Resources;
-use crate::room_shares::{Demand, Room, RoomShares};
 use crate::run_message::AgentNews;
 use crate::timings::Timings;
 
@@ -74,7 +74,7 @@
     timings: Timings,
     links: BTreeMap<SessionId, EntryLink>,
     until: BTreeMap<Incarnation, Now>,
-    shares: RoomShares,
+    shares: CapacityShares,
 }
 
 impl EntryLeases {
@@ -84,7 +84,7 @@
             timings,
             links: BTreeMap::new(),
             until: BTreeMap::new(),
-            shares: RoomShares::default(),
+            shares: CapacityShares::default(),
         }
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// Shares the target's free room among the entries.
-    pub fn share_room(&mut self, now: Now, room: Room) {
+    pub fn share_room(&mut self, now: Now, room: FreeCapacity) {
         let demand = |(link, found): (&SessionId, &EntryLink)| Demand {
             link: *link,
             waiting: found.waiting,
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -13,7 +13,7 @@
 //! Batches on the users' platform have layers of their own, which docs/design/platform.md explains:
 //!
 //! - words: [`clock`], [`resources`], [`run`], [`queue`], [`batch`], [`payload`], [`run_message`];
-//! - state: [`answer_time`], [`payload_cache`], [`entry_discovery`], [`run_table`], [`target_lease`], [`room_shares`], [`room_forecast`], [`entry_leases`],
+//! - state: [`adaptive_timeout`], [`payload_cache`], [`entry_discovery`], [`run_table`], [`target_lease`], [`capacity_shares`], [`wait_forecast`], [`entry_leases`],
 //!   [`preferred_entries`], [`evacuations`], [`link_load`], [`crash_history`], [`batch_table`], [`target_registry`], [`peer_table`], [`peer_closings`], [`config_fetch`], [`deferred_batches`],
 //!   [`entry_directory`], [`entry_drain`];
 //! - the cores: [`batch_entry`] and [`run_agent`], with what they are told and want done in
@@ -21,13 +21,13 @@
 //! - what runs them: [`platform_ports`], [`node_links`], [`wake_timer`], [`entry_node`],
 //!   [`agent_node`], [`line_log`], [`figures`].
 
+pub mod adaptive_timeout;
 pub mod admission;
 pub mod agent;
 pub mod agent_daemon;
 pub mod agent_node;
 mod agent_runs;
 mod agent_sessions;
-pub mod answer_time;
 pub mod apply;
 pub mod batch;
 pub mod batch_entry;
@@ -38,6 +38,8 @@
 pub mod peer_closings;
 
 pub mod active_batch;
+pub mod backlog_monitor;
+pub mod capacity_shares;
 pub mod codec;
 pub mod config_chain;
 pub mod config_document;
@@ -98,9 +100,8 @@
 pub mod quota;
 pub mod request_story;
 pub mod resources;
+pub mod retry_detector;
 pub mod ring;
-pub mod room_forecast;
-pub mod room_shares;
 pub mod run;
 pub mod run_agent;
 pub mod run_event;
@@ -110,7 +111,6 @@
 pub mod session_links;
 pub mod settings;
 pub mod slot_table;
-pub mod standing_queue;
 pub mod status;
 pub mod target_health;
 pub mod target_incarnation;
@@ -121,7 +121,7 @@
 pub mod telemetry;
 pub mod timings;
 pub mod trace;
-pub mod usual_patience;
 pub mod vm_list;
+pub mod wait_forecast;
 pub mod wake_timer;
 pub mod worker_threads;
--- a/lib/src/usual_patience.rs
+++ b/lib/src/retry_detector.rs
@@ -23,14 +23,14 @@
 
 /// See the module.
 #[derive(Debug, Default)]
-pub struct UsualPatience {
+pub struct RetryDetector {
     queues: BTreeMap<Arc<str>, VecDeque<Duration>>,
 }
 
-impl UsualPatience {
+impl RetryDetector {
     /// Takes in the patience of a new request, and says whether its caller has been elsewhere
     /// before, if callers return after `caller_return`.
-    pub fn is_returning(
+    pub fn is_retry(
         &mut self,
         queue: &Arc<str>,
         patience: Duration,
--- a/lib/src/run_agent.rs
+++ b/lib/src/run_agent.rs
@@ -13,7 +13,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::answer_time::AnswerTime;
+use crate::adaptive_timeout::AdaptiveTimeout;
+use crate::capacity_shares::FreeCapacity;
 use crate::entry_discovery::EntryDiscovery;
 use crate::entry_leases::EntryLeases;
 use crate::evacuations::{EvacuationWatch, EvacuationsInForce};
@@ -23,7 +24,6 @@
 use crate::payload_cache::PayloadCache;
 use crate::preferred_entries::{LinkStep, PREFERRED_COUNT, PreferredEntries};
 use crate::resources::Resources;
-use crate::room_shares::Room;
 use crate::run::{RunEnd, RunKey};
 use crate::run_event::{AgentAction, AgentEvent, AgentLevels, AgentOptions};
 use crate::run_message::{
@@ -52,7 +52,7 @@
     runs: RunTable,
     health: TargetHealth,
     /// How long the target's answers to starts take.
-    start_time: AnswerTime,
+    start_time: AdaptiveTimeout,
     /// When this process was last found to have stood still, or to have been idle.
     resumed: Now,
     /// Whether the target's lists have been read, in this life of the agent and of the target, and
@@ -86,7 +86,7 @@
             lease,
             runs: RunTable::default(),
             health: TargetHealth::default(),
-            start_time: AnswerTime::new(LEAST_START_LIMIT, START_LIMIT),
+            start_time: AdaptiveTimeout::new(LEAST_START_LIMIT, START_LIMIT),
             resumed: now,
             knows_lists: false,
             early_claims: Vec::new(),
@@ -578,7 +578,7 @@
 
     fn flush(&mut self) {
         let clock = self.now.as_millis() as AgentMillis;
-        let room = Room {
+        let room = FreeCapacity {
             free: self.free(),
             place: self.runs.usual_size(),
         };
--- a/lib/src/room_forecast.rs
+++ b/lib/src/wait_forecast.rs
@@ -28,7 +28,7 @@
 
 /// See the module.
 #[derive(Debug, Default)]
-pub struct RoomForecast {
+pub struct WaitForecast {
     /// Tasks that found a place, with the time.
     placed: VecDeque<(Now, u32)>,
     placed_in_window: u32,
@@ -36,7 +36,7 @@
     stands_since: Option<Now>,
 }
 
-impl RoomForecast {
+impl WaitForecast {
     /// Notes whether any batch waits.
     pub fn note_waiting(&mut self, now: Now, has_waiting: bool) {
         if has_waiting {
--- a/lib/tests/test_room_shares.rs
+++ b/lib/tests/test_capacity_shares.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use trestleknot_lib::answer_time::AnswerTime;
+use trestleknot_lib::adaptive_timeout::AdaptiveTimeout;
+use trestleknot_lib::capacity_shares::{CapacityShares, Demand, FreeCapacity};
 use trestleknot_lib::ids::Now;
 use trestleknot_lib::resources::Resources;
-use trestleknot_lib::room_shares::{Demand, Room, RoomShares};
 
 const PLACE: Resources = Resources {
     cpu_millis: 2_000,
@@ -17,8 +17,8 @@
     Duration::from_millis(millis)
 }
 
-fn room(places: u64) -> Room {
-    Room {
+fn room(places: u64) -> FreeCapacity {
+    FreeCapacity {
         free: PLACE.times(places),
         place: PLACE,
     }
@@ -50,7 +50,7 @@
         (2, &[9, 9, 9], &[1, 1, 0]),
     ];
     for (places, waiting, expected) in cases {
-        let mut shares = RoomShares::default();
+        let mut shares = CapacityShares::default();
         let found = shares.share(ms(0), room(places), &demands(waiting));
         assert_eq!(told(&found), expected, "{places} places, {waiting:?} wait");
     }
@@ -58,7 +58,7 @@
 
 #[test]
 fn test_share_unused_promise_goes_to_another() {
-    let mut shares = RoomShares::default();
+    let mut shares = CapacityShares::default();
     let waiting = demands(&[3, 3]);
     assert_eq!(told(&shares.share(ms(0), room(1), &waiting)), [1, 0]);
     assert_eq!(told(&shares.share(ms(10), room(1), &waiting)), [1, 0]);
@@ -68,7 +68,7 @@
 
 #[test]
 fn test_share_used_promise_leaves_nothing_until_room_returns() {
-    let mut shares = RoomShares::default();
+    let mut shares = CapacityShares::default();
     let waiting = demands(&[3, 3]);
     shares.share(ms(0), room(1), &waiting);
     shares.used(1);
@@ -79,7 +79,7 @@
 
 #[test]
 fn test_share_turns_follow_what_waits() {
-    let mut shares = RoomShares::default();
+    let mut shares = CapacityShares::default();
     let waiting = demands(&[10, 30]);
     let mut turns = [0, 0];
     for step in 0..40 {
@@ -93,7 +93,7 @@
 
 #[test]
 fn test_share_lost_room_takes_promises_back() {
-    let mut shares = RoomShares::default();
+    let mut shares = CapacityShares::default();
     let waiting = demands(&[1, 1, 1]);
     let both = told(&shares.share(ms(0), room(2), &waiting));
     assert_eq!(both.iter().sum::<u64>(), 2);
@@ -103,7 +103,7 @@
 
 #[test]
 fn test_share_entry_that_left_holds_no_promise() {
-    let mut shares = RoomShares::default();
+    let mut shares = CapacityShares::default();
     shares.share(ms(0), room(1), &demands(&[5, 1, 1]));
     shares.leave(1);
     let waiting: Vec<Demand> = demands(&[5, 1, 1]).split_off(1);
@@ -112,7 +112,7 @@
 
 #[test]
 fn test_limit_follows_answers_within_bounds() {
-    let mut time = AnswerTime::new(ms(20), ms(100));
+    let mut time = AdaptiveTimeout::new(ms(20), ms(100));
     assert_eq!(time.limit(), ms(100), "nothing is known yet");
     for _ in 0..50 {
         time.learn(ms(2));
--- a/lib/tests/test_usual_patience.rs
+++ b/lib/tests/test_retry_detector.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use trestleknot_lib::backlog_monitor::BacklogMonitor;
 use trestleknot_lib::ids::Now;
 use trestleknot_lib::queue::Queue;
-use trestleknot_lib::standing_queue::StandingQueue;
-use trestleknot_lib::usual_patience::UsualPatience;
+use trestleknot_lib::retry_detector::RetryDetector;
 
 const fn ms(millis: u64) -> Now {
     Duration::from_millis(millis)
@@ -15,38 +15,38 @@
 const RETURN: Duration = ms(1_300);
 
 #[test]
-fn test_is_returning_far_under_the_median() {
-    let mut usual = UsualPatience::default();
+fn test_is_retry_far_under_the_median() {
+    let mut usual = RetryDetector::default();
     let queue: Arc<str> = "queue".into();
     for patience in [2_000, 2_400, 2_800, 2_100, 2_300, 5_000] {
-        assert!(!usual.is_returning(&queue, ms(patience), RETURN));
+        assert!(!usual.is_retry(&queue, ms(patience), RETURN));
     }
-    assert!(!usual.is_returning(&queue, ms(1_800), RETURN));
-    assert!(usual.is_returning(&queue, ms(864), RETURN));
+    assert!(!usual.is_retry(&queue, ms(1_800), RETURN));
+    assert!(usual.is_retry(&queue, ms(864), RETURN));
     // Another queue's callers have another measure.
-    assert!(!usual.is_returning(&"other".into(), ms(864), RETURN));
+    assert!(!usual.is_retry(&"other".into(), ms(864), RETURN));
 }
 
 #[test]
-fn test_is_returning_learns_a_shorter_patience() {
-    let mut usual = UsualPatience::default();
+fn test_is_retry_learns_a_shorter_patience() {
+    let mut usual = RetryDetector::default();
     let queue: Arc<str> = "queue".into();
     for _ in 0..31 {
-        usual.is_returning(&queue, ms(3_000), RETURN);
+        usual.is_retry(&queue, ms(3_000), RETURN);
     }
-    let returning = (0..31).filter(|_| usual.is_returning(&queue, ms(500), RETURN));
+    let returning = (0..31).filter(|_| usual.is_retry(&queue, ms(500), RETURN));
     let returning = returning.count();
     assert!((14..=17).contains(&returning), "{returning}");
 }
 
 #[test]
 fn test_forget_unconfigured_keeps_what_is_configured() {
-    let mut usual = UsualPatience::default();
+    let mut usual = RetryDetector::default();
     let kept: Arc<str> = "kept".into();
     for _ in 0..6 {
-        usual.is_returning(&kept, ms(2_000), RETURN);
-        usual.is_returning(&"old".into(), ms(2_000), RETURN);
-        usual.is_returning(&"older".into(), ms(2_000), RETURN);
+        usual.is_retry(&kept, ms(2_000), RETURN);
+        usual.is_retry(&"old".into(), ms(2_000), RETURN);
+        usual.is_retry(&"older".into(), ms(2_000), RETURN);
     }
     let configured = [Arc::new(Queue {
         name: kept.clone(),
@@ -60,13 +60,13 @@
         needs_advice: false,
     })];
     usual.forget_unconfigured(&configured);
-    assert!(usual.is_returning(&kept, ms(500), RETURN));
-    assert!(!usual.is_returning(&"old".into(), ms(500), RETURN));
+    assert!(usual.is_retry(&kept, ms(500), RETURN));
+    assert!(!usual.is_retry(&"old".into(), ms(500), RETURN));
 }
 
 #[test]
 fn test_allowance_shrinks_only_in_a_queue_that_stands() {
-    let mut queue = StandingQueue::default();
+    let mut queue = BacklogMonitor::default();
     let slack = ms(100);
     queue.note(ms(1_000), true);
     assert_eq!(queue.allowance(ms(1_200), slack), slack);
--- a/lib/tests/test_room_forecast.rs
+++ b/lib/tests/test_wait_forecast.rs
@@ -3,15 +3,15 @@
 use std::time::Duration;
 
 use trestleknot_lib::ids::Now;
-use trestleknot_lib::room_forecast::{RoomForecast, WINDOW, return_after};
+use trestleknot_lib::wait_forecast::{WINDOW, WaitForecast, return_after};
 
 const fn ms(millis: u64) -> Now {
     Duration::from_millis(millis)
 }
 
 /// A queue that has stood for a whole window, in which a task was placed every 10 ms.
-fn standing() -> (Now, RoomForecast) {
-    let mut forecast = RoomForecast::default();
+fn standing() -> (Now, WaitForecast) {
+    let mut forecast = WaitForecast::default();
     let mut now = ms(1_000);
     for _ in 0..=WINDOW.as_millis() / 10 {
         now += ms(10);
@@ -24,14 +24,14 @@
 
 #[test]
 fn test_wait_for_short_queue_is_not_known() {
-    let mut forecast = RoomForecast::default();
+    let mut forecast = WaitForecast::default();
     forecast.note_waiting(ms(10), true);
     forecast.note_placed(ms(10), 4);
     assert_eq!(forecast.wait_for(ms(200), 8), None);
 }
 
 #[test]
-fn test_wait_for_standing_queue_follows_the_pace_of_placing() {
+fn test_wait_for_backlog_follows_the_pace_of_placing() {
     let (now, forecast) = standing();
     assert_eq!(forecast.wait_for(now, 5), Some(ms(50)));
     assert_eq!(forecast.wait_for(now, 50), Some(ms(500)));
