--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -13,7 +13,7 @@
 use testutils::load::{Load, Shape};
 use testutils::scenario::{self, ENTRIES, SLOTS, TARGETS};
 use testutils::summary::Summary;
-use trestleknot_lib::clock::Instant;
+use trestleknot_lib::clock::BootInstant;
 use trestleknot_lib::status::EntryStatus;
 
 use crate::client::block_on;
@@ -74,7 +74,7 @@
 type Driven = (Fleet, Vec<JobRecord>, Vec<EntryStatus>);
 
 async fn drive(fleet: Fleet, length: Duration, seed: u64) -> Driven {
-    let began = Instant::now();
+    let began = BootInstant::now();
     scenario::settle(&fleet).await;
     println!(
         "every target connected after {} ms",
@@ -107,7 +107,7 @@
     length: Duration,
     addresses: &Rc<RefCell<Vec<std::net::SocketAddr>>>,
 ) -> Fleet {
-    let began = Instant::now();
+    let began = BootInstant::now();
     let mut broken = false;
     while began.elapsed() < length {
         ntex::time::sleep(DRAW_EVERY).await;
--- a/cli/tests/test_platform.rs
+++ b/cli/tests/test_platform.rs
@@ -187,7 +187,7 @@
         assert_eq!(submit(&client, 3, 2, 50).await, succeeded());
         fleet.store.evacuate(process_fleet::HALL);
         ntex::time::sleep(Duration::from_millis(300)).await;
-        let before = trestleknot_lib::clock::Instant::now();
+        let before = trestleknot_lib::clock::BootInstant::now();
         let (status, _) = submit(&client, 4, 2, 50).await.expect("an answer");
         assert_eq!(status, 503);
         assert!(before.elapsed() < PATIENCE / 4, "refused at once");
--- a/lib/src/agent_daemon.rs
+++ b/lib/src/agent_daemon.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 
 use crate::agent::{AgentAction, AgentCore, AgentEvent, AgentOptions, Renewal, RunId, Start};
-use crate::clock::Instant;
+use crate::clock::BootInstant;
 use crate::core_thread::{self, Admitted, Next, Router};
 use crate::entry_links::AGENT_PATH;
 use crate::events::{EventCode, LogEvent};
@@ -180,7 +180,7 @@
             reports: core_reports,
             traffic,
             server_end: Some(end_tx),
-            levels_at: Instant::now(),
+            levels_at: BootInstant::now(),
         };
         let parts = CoreParts {
             core: AgentCore::new(options),
@@ -241,7 +241,7 @@
     reports: RingTx<Report>,
     traffic: Arc<LinkTraffic>,
     server_end: Option<oneshot::Sender<ServerEnd>>,
-    levels_at: Instant,
+    levels_at: BootInstant,
 }
 
 impl Router<AgentCore> for AgentRouter {
@@ -291,7 +291,7 @@
         if self.levels_at.elapsed() < LEVELS_EVERY {
             return;
         }
-        self.levels_at = Instant::now();
+        self.levels_at = BootInstant::now();
         let levels = Levels {
             counters: core.counters().clone(),
             in_flight: core.running() as u64,
--- a/lib/src/agent_node.rs
+++ b/lib/src/agent_node.rs
@@ -7,7 +7,8 @@
 
 use tokio::sync::Notify;
 
-use crate::clock::{Instant, SuspensionWatch};
+use crate::clock::{BootInstant, SuspensionWatch};
+use crate::core_timer::CoreTimer;
 use crate::evacuations::EvacuationReader;
 use crate::events::{EventCode, LogEvent};
 use crate::figures::Figures;
@@ -19,13 +20,12 @@
 use crate::run_message::Packet;
 use crate::target_incarnation::TargetName;
 use crate::target_lease::Renewal;
-use crate::wake_timer::WakeTimer;
 
 /// See the module.
 pub struct AgentNode {
     me: Weak<AgentNode>,
     core: RefCell<RunAgentCore>,
-    timer: Rc<WakeTimer>,
+    timer: Rc<CoreTimer>,
     links: Rc<NodeLinks>,
     target: Rc<dyn TargetPort>,
     operators: Rc<dyn OperatorFeed>,
@@ -43,7 +43,7 @@
         operators: Rc<dyn OperatorFeed>,
         registry: Rc<dyn EntryRegistry>,
     ) -> Rc<Self> {
-        let timer = WakeTimer::new(Instant::now());
+        let timer = CoreTimer::new(BootInstant::now());
         let core = RunAgentCore::new(timer.now(), options);
         let node = Rc::new_cyclic(|me: &Weak<Self>| Self {
             me: me.clone(),
@@ -132,7 +132,7 @@
         };
         let (key, token) = (call.key, call.token);
         let answer = self.target.start(call);
-        let sent = Instant::now();
+        let sent = BootInstant::now();
         ntex::rt::spawn(async move {
             let answer = answer.await;
             me.figures.call(sent.elapsed());
--- a/lib/src/apply.rs
+++ b/lib/src/apply.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::clock::Instant;
+use crate::clock::BootInstant;
 use crate::config_chain::{ChangeFate, ConfigChain, ConfigState, LogRecord, SeenChange};
 use crate::config_document::Document;
 use crate::platform::{LogService, PlatformResult};
@@ -120,7 +120,7 @@
     log: &dyn LogService,
     change: &Change,
 ) -> Option<ApplyOutcome> {
-    let began = Instant::now();
+    let began = BootInstant::now();
     loop {
         let seen = follower.catch_up(log).await.unwrap_or_default();
         if let Some(ours) = seen.iter().find(|s| s.nonce == change.nonce) {
--- a/lib/src/clock.rs
+++ b/lib/src/clock.rs
@@ -15,9 +15,9 @@
 
 /// A moment, counted from the start of the VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Instant(Duration);
+pub struct BootInstant(Duration);
 
-impl Instant {
+impl BootInstant {
     /// The present moment.
     pub fn now() -> Self {
         let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
@@ -60,10 +60,10 @@
 fn time_suspended() -> Duration {
     let awake = clock_gettime(ClockId::CLOCK_MONOTONIC);
     let awake: Duration = awake.expect("every Linux has this clock").into();
-    Instant::now().0.saturating_sub(awake)
+    BootInstant::now().0.saturating_sub(awake)
 }
 
-impl Add<Duration> for Instant {
+impl Add<Duration> for BootInstant {
     type Output = Self;
 
     fn add(self, time: Duration) -> Self {
@@ -71,7 +71,7 @@
     }
 }
 
-impl Sub for Instant {
+impl Sub for BootInstant {
     type Output = Duration;
 
     /// Time from `earlier` until this moment; none if `earlier` is later.
--- a/lib/src/core_thread.rs
+++ b/lib/src/core_thread.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::agent::{AgentAction, AgentCore, AgentEvent};
-use crate::clock::Instant;
+use crate::clock::BootInstant;
 use crate::entry::{EntryAction, EntryCore, EntryEvent, TICK};
 use crate::ids::Now;
 use crate::ring::RingRx;
@@ -90,7 +90,7 @@
 /// Runs a core on this thread until its router says stop. The rings' wakers must unpark this
 /// thread.
 pub fn run<C: Core, R: Router<C>>(mut core: C, mut inputs: Vec<RingRx<R::Input>>, router: &mut R) {
-    let origin = Instant::now();
+    let origin = BootInstant::now();
     let mut next_tick = Duration::ZERO;
     loop {
         let mut idle = true;
--- a/lib/src/wake_timer.rs
+++ b/lib/src/core_timer.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::Notify;
 
-use crate::clock::Instant;
+use crate::clock::BootInstant;
 use crate::ids::Now;
 
 /// Longest sleep at a time. Timers of the system stand still in a suspended VM: what has come due
@@ -14,17 +14,17 @@
 const LONGEST_SLEEP: Duration = Duration::from_millis(100);
 
 /// See the module.
-pub struct WakeTimer {
-    origin: Instant,
+pub struct CoreTimer {
+    origin: BootInstant,
     at: Cell<Option<Now>>,
     /// Until when the sleeper sleeps; none if for good, zero if it is awake.
     sleeps_until: Cell<Option<Now>>,
     moved: Notify,
 }
 
-impl WakeTimer {
+impl CoreTimer {
     /// A timer that counts from `origin`.
-    pub fn new(origin: Instant) -> Rc<Self> {
+    pub fn new(origin: BootInstant) -> Rc<Self> {
         Rc::new(Self {
             origin,
             at: Cell::new(None),
--- a/lib/src/entry_daemon.rs
+++ b/lib/src/entry_daemon.rs
@@ -12,7 +12,7 @@
 
 use tokio::sync::oneshot;
 
-use crate::clock::Instant;
+use crate::clock::BootInstant;
 use crate::config_chain::ConfigStamp;
 use crate::core_thread::{self, Router as _};
 use crate::entry::{EntryAction, EntryCore, EntryEvent, EntryOptions};
@@ -139,7 +139,7 @@
             own_address: options.agent_address.clone(),
             traffic: links.traffic,
             server_end: http.end.clone(),
-            levels_at: Instant::now(),
+            levels_at: BootInstant::now(),
         };
         let parts = CoreParts {
             core: EntryCore::new(options),
--- a/lib/src/entry_node.rs
+++ b/lib/src/entry_node.rs
@@ -15,7 +15,8 @@
 
 use crate::batch_entry::BatchEntryCore;
 use crate::batch_event::{EntryAction, EntryEvent, EntryOptions, Reply};
-use crate::clock::Instant;
+use crate::clock::BootInstant;
+use crate::core_timer::CoreTimer;
 use crate::evacuations::EvacuationReader;
 use crate::events::{EventCode, LogEvent};
 use crate::figures::Figures;
@@ -23,7 +24,6 @@
 use crate::node_links::{LinkSink, NodeLinks};
 use crate::platform_ports::{EntryRegistry, OperatorFeed, PortResult};
 use crate::run_message::Packet;
-use crate::wake_timer::WakeTimer;
 
 /// First pause after the store gave no answer.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
@@ -34,7 +34,7 @@
 pub struct EntryNode {
     me: Weak<EntryNode>,
     core: RefCell<BatchEntryCore>,
-    timer: Rc<WakeTimer>,
+    timer: Rc<CoreTimer>,
     links: Rc<NodeLinks>,
     replies: RefCell<HashMap<RequestId, oneshot::Sender<Reply>>>,
     next_request: Cell<RequestId>,
@@ -45,7 +45,7 @@
 impl EntryNode {
     /// An entry that listens for links. Must be called on the thread that is to run it.
     pub fn start(options: EntryOptions, links_listener: TcpListener) -> Rc<Self> {
-        let timer = WakeTimer::new(Instant::now());
+        let timer = CoreTimer::new(BootInstant::now());
         let node = Rc::new_cyclic(|me: &Weak<Self>| Self {
             me: me.clone(),
             core: RefCell::new(BatchEntryCore::new(options)),
--- a/lib/src/entry_router.rs
+++ b/lib/src/entry_router.rs
@@ -7,7 +7,7 @@
 
 use tokio::sync::oneshot;
 
-use crate::clock::Instant;
+use crate::clock::BootInstant;
 use crate::core_thread::{Admitted, Next, Router};
 use crate::entry::{EntryAction, EntryCore, EntryEvent, Reply};
 use crate::entry_input::EntryInput;
@@ -35,7 +35,7 @@
     pub(crate) own_address: String,
     pub(crate) traffic: Arc<LinkTraffic>,
     pub(crate) server_end: ServerEnder,
-    pub(crate) levels_at: Instant,
+    pub(crate) levels_at: BootInstant,
 }
 
 impl EntryRouter {
@@ -138,7 +138,7 @@
         if self.levels_at.elapsed() < LEVELS_EVERY {
             return;
         }
-        self.levels_at = Instant::now();
+        self.levels_at = BootInstant::now();
         let levels = Levels {
             counters: core.counters().clone(),
             waiting: u64::from(core.waiting_tasks()),
--- a/lib/src/evacuations.rs
+++ b/lib/src/evacuations.rs
@@ -17,14 +17,14 @@
 use crate::ids::{HallName, Now};
 
 /// Place in the log of the operator's records: how many of them are known.
-pub type LogPlace = u64;
+pub type StorePosition = u64;
 
 /// The evacuated halls as of a place in the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuatedHalls {
     /// All records before this place are taken into account.
     #[serde(rename = "p")]
-    pub place: LogPlace,
+    pub place: StorePosition,
     /// The halls.
     #[serde(rename = "h")]
     pub halls: BTreeSet<HallName>,
@@ -52,7 +52,7 @@
     /// Halls in the order of their records, each with whether it is evacuated.
     pub halls: Vec<(HallName, bool)>,
     /// Place in the log after the last record.
-    pub place: LogPlace,
+    pub place: StorePosition,
 }
 
 /// Adds reads of the operator's records up to a state.
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -18,7 +18,7 @@
 //!   [`entry_directory`], [`entry_drain`];
 //! - the cores: [`batch_entry`] and [`run_agent`], with what they are told and want done in
 //!   [`batch_event`] and [`run_event`], and the choice of targets in [`batch_placing`];
-//! - what runs them: [`platform_ports`], [`node_links`], [`wake_timer`], [`entry_node`],
+//! - what runs them: [`platform_ports`], [`node_links`], [`core_timer`], [`entry_node`],
 //!   [`agent_node`], [`line_log`], [`figures`].
 
 pub mod adaptive_timeout;
@@ -45,6 +45,7 @@
 pub mod config_document;
 pub mod config_fetch;
 pub mod core_thread;
+pub mod core_timer;
 pub mod counters;
 pub mod crash_history;
 pub mod deferred_batches;
@@ -123,5 +124,4 @@
 pub mod trace;
 pub mod vm_list;
 pub mod wait_forecast;
-pub mod wake_timer;
 pub mod worker_threads;
--- a/lib/src/memory_target.rs
+++ b/lib/src/memory_target.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 
 use crate::agent::{Renewal, RunEnd, RunId, Start};
-use crate::clock::Instant;
+use crate::clock::BootInstant;
 use crate::ids::Incarnation;
 use crate::job::TaskOutcome;
 use crate::platform::TargetService;
@@ -89,7 +89,7 @@
 }
 
 struct Running {
-    lease_until: Instant,
+    lease_until: BootInstant,
     stopped: bool,
     changed: Arc<Notify>,
 }
@@ -168,7 +168,7 @@
         }
         let changed = Arc::new(Notify::new());
         let running = Running {
-            lease_until: Instant::now() + lease,
+            lease_until: BootInstant::now() + lease,
             stopped: false,
             changed: changed.clone(),
         };
@@ -178,12 +178,12 @@
 
     /// Lets time pass until the task's end, a stop, or the end of its lease.
     async fn pass_time(&self, run: &str, time: Duration, changed: &Notify) -> TaskOutcome {
-        let end = Instant::now() + time;
+        let end = BootInstant::now() + time;
         loop {
             let Some(lease_until) = self.lease_of(run) else {
                 return TaskOutcome::Lost;
             };
-            let now = Instant::now();
+            let now = BootInstant::now();
             if now >= end {
                 return TaskOutcome::Succeeded("".into());
             }
@@ -197,7 +197,7 @@
     }
 
     /// End of a run's lease; none if it was stopped.
-    fn lease_of(&self, run: &str) -> Option<Instant> {
+    fn lease_of(&self, run: &str) -> Option<BootInstant> {
         let state = lock(&self.state);
         let running = state.running.get(run)?;
         (!running.stopped).then_some(running.lease_until)
@@ -208,7 +208,7 @@
         let mut state = lock(&self.state);
         for run in runs {
             if let Some(running) = state.running.get_mut(run) {
-                running.lease_until = Instant::now() + lease;
+                running.lease_until = BootInstant::now() + lease;
                 running.changed.notify_one();
             }
         }
--- a/lib/src/node_links.rs
+++ b/lib/src/node_links.rs
@@ -17,7 +17,7 @@
 use tokio_tungstenite::WebSocketStream;
 use tokio_tungstenite::tungstenite::Message;
 
-use crate::clock::Instant;
+use crate::clock::BootInstant;
 use crate::codec;
 use crate::events::{EventCode, LogEvent};
 use crate::ids::SessionId;
@@ -139,13 +139,13 @@
         sink: Rc<dyn LinkSink>,
     ) {
         let mut pause = FIRST_PAUSE;
-        let mut reached = Instant::now();
+        let mut reached = BootInstant::now();
         while self.is_kept(address, number) {
             let socket = dial_once(address).await;
             if let Some(socket) = socket.filter(|_| self.is_kept(address, number)) {
                 pause = FIRST_PAUSE;
                 self.run(socket, Some(address), &sink).await;
-                reached = Instant::now();
+                reached = BootInstant::now();
             }
             let jittered = pause.mul_f64(rand::rng().random_range(0.7..1.3));
             tokio::time::sleep(jittered).await;
--- a/lib/src/peer_table.rs
+++ b/lib/src/peer_table.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::evacuations::{EvacuatedHalls, LogPlace};
+use crate::evacuations::{EvacuatedHalls, StorePosition};
 use crate::ids::{NodeName, Now, SessionId};
 use crate::queue::ConfigVersion;
 use crate::run_message::{ClosingBatch, PeerIntro, PeerNews};
@@ -30,7 +30,7 @@
     /// Version that it holds, or has been told of.
     pub config: ConfigVersion,
     /// Place in the log up to which it is known to know the evacuations.
-    pub evacuations: LogPlace,
+    pub evacuations: StorePosition,
     /// When it was last heard.
     pub heard: Now,
     /// When something was last sent.
@@ -132,7 +132,7 @@
     }
 
     /// Notes the place up to which an entry knows the evacuations.
-    pub fn knows_evacuations(&mut self, link: SessionId, place: LogPlace) {
+    pub fn knows_evacuations(&mut self, link: SessionId, place: StorePosition) {
         if let Some(peer) = self.links.get_mut(&link) {
             peer.evacuations = peer.evacuations.max(place);
         }
--- a/lib/src/run_agent/incarnations.rs
+++ b/lib/src/run_agent/incarnations.rs
@@ -65,7 +65,7 @@
             IncarnationAnswer::Silent => self.lives.unanswered(self.now, life),
             IncarnationAnswer::Fenced => {
                 let refused = self.lease.token();
-                self.lease.step_over(refused);
+                self.lease.raise_token_past(refused);
                 self.lives.ask_at(self.now + FENCED_PAUSE, life);
             }
             IncarnationAnswer::OtherIncarnation => self.reported_life_over(life),
--- a/lib/src/run_agent/lists.rs
+++ b/lib/src/run_agent/lists.rs
@@ -50,7 +50,7 @@
             self.lease.unanswered(self.now, number);
         }
         // A target in doubt is asked until it answers, though nothing may be left to renew.
-        let is_idle = self.runs.is_empty() && self.knows_lists && !self.lease.is_in_doubt();
+        let is_idle = self.runs.is_empty() && self.knows_lists && !self.lease.has_unanswered_call();
         if is_idle {
             return;
         }
@@ -106,7 +106,7 @@
             RenewalAnswer::Fenced => {
                 let refused = self.lease.token();
                 self.lease.failed(self.now, number);
-                self.lease.step_over(refused);
+                self.lease.raise_token_past(refused);
             }
             RenewalAnswer::OtherIncarnation => {
                 self.lease.failed(self.now, number);
--- a/lib/src/run_agent/starts.rs
+++ b/lib/src/run_agent/starts.rs
@@ -108,7 +108,7 @@
         if !self.knows_lists || self.lease.is_silent() {
             return Err(NotStarted::Unreachable);
         }
-        if self.lease.is_in_doubt() {
+        if self.lease.has_unanswered_call() {
             return Err(NotStarted::Doubtful);
         }
         if self.runs.has_task(key.task) {
@@ -236,7 +236,7 @@
 
     /// The start never happened; it is sent once more with a token that counts.
     pub(super) fn start_fenced(&mut self, key: RunKey, token: FencingToken) {
-        self.lease.step_over(token);
+        self.lease.raise_token_past(token);
         self.send_start_again(key, NotStarted::Late);
     }
 
--- a/lib/src/run_message.rs
+++ b/lib/src/run_message.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::evacuations::{EvacuatedHalls, LogPlace};
+use crate::evacuations::{EvacuatedHalls, StorePosition};
 use crate::ids::{HallName, Incarnation, NodeName};
 use crate::payload::Payload;
 use crate::queue::{ConfigVersion, QueueTable};
@@ -377,7 +377,7 @@
     /// Version of the configuration that it holds.
     pub config: ConfigVersion,
     /// Place in the log up to which it knows the evacuations.
-    pub evacuations: LogPlace,
+    pub evacuations: StorePosition,
     /// Entries that it knows.
     pub entries: Vec<SocketAddr>,
 }
--- a/lib/src/session_links.rs
+++ b/lib/src/session_links.rs
@@ -26,7 +26,7 @@
 };
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
 
-use crate::clock::Instant;
+use crate::clock::BootInstant;
 use crate::codec::{self, MOST_FRAME_BYTES};
 use crate::events::{EventCode, LogEvent};
 use crate::ids::SessionId;
@@ -207,14 +207,14 @@
     /// Keeps one connection to an address, with jittered back-off between tries.
     async fn keep_dialled(self: Rc<Self>, address: String) {
         let mut backoff = FIRST_BACKOFF;
-        let mut reached = Instant::now();
+        let mut reached = BootInstant::now();
         let mut stop = self.stop.subscribe();
         while !*stop.borrow() {
             let dialled = tokio::time::timeout(HANDSHAKE_LIMIT, self.dial_once(&address)).await;
             if let Ok(Some(socket)) = dialled {
                 backoff = FIRST_BACKOFF;
                 self.clone().run_session(socket).await;
-                reached = Instant::now();
+                reached = BootInstant::now();
             }
             let pause = backoff.mul_f64(rand::rng().random_range(0.5..1.5));
             tokio::select! {
@@ -465,14 +465,14 @@
 
 /// Counts frames by the second.
 struct Pace {
-    second: Instant,
+    second: BootInstant,
     frames: u32,
 }
 
 impl Pace {
     fn new() -> Self {
         Self {
-            second: Instant::now(),
+            second: BootInstant::now(),
             frames: 0,
         }
     }
--- a/lib/src/target_lease.rs
+++ b/lib/src/target_lease.rs
@@ -158,7 +158,7 @@
     }
 
     /// Steps over a token that the target has seen from an earlier life of the agent.
-    pub fn step_over(&mut self, refused: FencingToken) {
+    pub fn raise_token_past(&mut self, refused: FencingToken) {
         if refused >= self.token {
             self.token = refused + TOKEN_STEP;
         }
@@ -224,7 +224,7 @@
 
     /// Whether the last call was not answered. Nothing new is started then, and no lease is
     /// extended: what runs on a target that is lost is over the sooner.
-    pub fn is_in_doubt(&self) -> bool {
+    pub fn has_unanswered_call(&self) -> bool {
         self.silent_calls > 0
     }
 
@@ -333,7 +333,7 @@
     fn send(&mut self, now: Now, renew: bool, wait: Duration) -> Renewal {
         self.retry_at = None;
         // A target in doubt is only looked at: its leases must run out for its runs to be over.
-        let until = if renew && !self.is_in_doubt() {
+        let until = if renew && !self.has_unanswered_call() {
             self.new_until(now)
         } else {
             None
