--- a/cli/src/fleet_status.rs
+++ b/cli/src/fleet_status.rs
@@ -6,7 +6,7 @@
 use clap::ArgMatches;
 use comfy_table::Table;
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
-use trestleknot_lib::journal::{Step, StepKind, Story};
+use trestleknot_lib::job_history::{JobTimeline, Step, StepKind};
 use trestleknot_lib::request_story::RequestStory;
 use trestleknot_lib::status::{EntryStatus, TargetState, TargetStatus};
 
@@ -178,7 +178,8 @@
         let client = new_client().await;
         let mut last = no_answer(&job, "no entry was asked".to_owned());
         for address in entries {
-            last = get_json::<Story>(&client, &format!("http://{address}/explain/{job}")).await;
+            last =
+                get_json::<JobTimeline>(&client, &format!("http://{address}/explain/{job}")).await;
             if last.is_ok() {
                 break;
             }
@@ -194,7 +195,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn print_story(story: &Story) {
+fn print_story(story: &JobTimeline) {
     anstream::println!("team {}", story.team);
     for step in &story.steps {
         anstream::println!("{}", step_line(step));
--- a/cli/src/logging.rs
+++ b/cli/src/logging.rs
@@ -5,7 +5,7 @@
 use clap::ArgMatches;
 use logforth::filter::rustlog::RustLogFilterBuilder;
 use logforth::layout::{JsonLayout, TextLayout};
-use trestleknot_lib::line_log::LineLog;
+use trestleknot_lib::log_writer::LogWriter;
 
 /// Target of our own events; libraries only show warnings and errors.
 const OWN_TARGET: &str = "trestleknot";
@@ -34,8 +34,8 @@
 }
 
 /// Starts logging for the platform: bounded lines on standard output, written in the background.
-pub fn start_lines() -> io::Result<LineLog> {
-    let log = LineLog::start()?;
+pub fn start_lines() -> io::Result<LogWriter> {
+    let log = LogWriter::start()?;
     let filter = RustLogFilterBuilder::from_spec(format!("warn,{OWN_TARGET}=info")).build();
     let append = log.clone();
     logforth::starter_log::builder()
--- a/cli/src/platform_daemons.rs
+++ b/cli/src/platform_daemons.rs
@@ -22,7 +22,7 @@
 use trestleknot_lib::batch_event::{EntryEvent, EntryOptions};
 use trestleknot_lib::entry_node::EntryNode;
 use trestleknot_lib::events::{EventCode, LogEvent};
-use trestleknot_lib::line_log::LineLog;
+use trestleknot_lib::log_writer::LogWriter;
 use trestleknot_lib::run_event::{AgentEvent, AgentOptions};
 use trestleknot_lib::worker_threads::run_system;
 
@@ -99,7 +99,7 @@
 }
 
 /// Ends the process after its last words.
-async fn end(log: LineLog) {
+async fn end(log: LogWriter) {
     tokio::time::sleep(LAST_WORDS).await;
     log.write_now();
     std::process::exit(0);
@@ -150,7 +150,7 @@
 async fn entry_of_thread(
     settings: &EntrySettings,
     path: &std::path::Path,
-    log: &LineLog,
+    log: &LogWriter,
 ) -> Rc<EntryNode> {
     if let Some(node) = ENTRY.with(|n| n.get().cloned()) {
         return node;
@@ -219,7 +219,7 @@
 async fn agent_of_thread(
     settings: &AgentSettings,
     path: &std::path::Path,
-    log: &LineLog,
+    log: &LogWriter,
 ) -> Rc<AgentNode> {
     if let Some(node) = AGENT.with(|n| n.get().cloned()) {
         return node;
--- a/lib/src/agent_node.rs
+++ b/lib/src/agent_node.rs
@@ -11,9 +11,9 @@
 use crate::core_timer::CoreTimer;
 use crate::evacuations::EvacuationReader;
 use crate::events::{EventCode, LogEvent};
-use crate::figures::Figures;
 use crate::ids::SessionId;
 use crate::node_links::{LinkSink, NodeLinks};
+use crate::node_metrics::NodeMetrics;
 use crate::platform_ports::{EntryRegistry, OperatorFeed, PortError, TargetPort};
 use crate::run_agent::RunAgentCore;
 use crate::run_event::{AgentAction, AgentEvent, AgentOptions, StartCall};
@@ -30,7 +30,7 @@
     target: Rc<dyn TargetPort>,
     operators: Rc<dyn OperatorFeed>,
     registry: Rc<dyn EntryRegistry>,
-    figures: Figures,
+    figures: NodeMetrics,
     suspensions: SuspensionWatch,
     ended: Notify,
 }
@@ -53,7 +53,7 @@
             target,
             operators,
             registry,
-            figures: Figures::new(),
+            figures: NodeMetrics::new(),
             suspensions: SuspensionWatch::start(),
             ended: Notify::new(),
         });
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -19,8 +19,8 @@
 use crate::health::HealthController;
 use crate::ids::{Incarnation, JobId, JobSeq, NodeName, Now, RequestId, SessionId, TeamName};
 use crate::job::{Answer, TaskSpec};
+use crate::job_history::{JobHistory, JobTimeline};
 use crate::job_table::JobTable;
-use crate::journal::{Journal, Story};
 use crate::message::{AgentHello, AgentMessage, EntryMessage, Frame, PeerHello, PeerMessage};
 use crate::outbox::{AgentOutboxes, PeerOutboxes};
 use crate::permit::{FleetSecret, PermitId};
@@ -178,7 +178,7 @@
     /// The status.
     Status(Box<EntryStatus>),
     /// The story of a job; none if it is not told any more.
-    Story(Option<Story>),
+    Story(Option<JobTimeline>),
 }
 
 /// How far a job is.
@@ -273,7 +273,7 @@
     pub(crate) quotas: Quotas,
     pub(crate) run_times: RunTimes,
     pub(crate) health: HealthController,
-    pub(crate) journal: Journal,
+    pub(crate) journal: JobHistory,
     pub(crate) counters: Counters,
     pub(crate) platform: crate::entry_platform::PlatformState,
     pub(crate) unreleased: BTreeMap<Incarnation, Vec<crate::message::Claim>>,
@@ -302,7 +302,7 @@
             quotas: Quotas::default(),
             run_times: RunTimes::default(),
             health: HealthController::default(),
-            journal: Journal::default(),
+            journal: JobHistory::default(),
             counters: Counters::default(),
             platform: crate::entry_platform::PlatformState::default(),
             unreleased: BTreeMap::new(),
--- a/lib/src/entry_jobs.rs
+++ b/lib/src/entry_jobs.rs
@@ -7,8 +7,8 @@
 use crate::entry::{EntryAction, EntryCore, JobRequest, Measure, Progress, Reply, Submission};
 use crate::ids::{Incarnation, JobId, JobSeq, RequestId, TeamName};
 use crate::job::{Answer, Failure, JobSpec, RefusalReason, TaskOutcome};
+use crate::job_history::StepKind;
 use crate::job_table::{Job, Phase, WaitingTask};
-use crate::journal::StepKind;
 use crate::message::PeerMessage;
 use crate::permit::{StoredAnswer, request_digest};
 
--- a/lib/src/entry_node.rs
+++ b/lib/src/entry_node.rs
@@ -19,9 +19,9 @@
 use crate::core_timer::CoreTimer;
 use crate::evacuations::EvacuationReader;
 use crate::events::{EventCode, LogEvent};
-use crate::figures::Figures;
 use crate::ids::{RequestId, SessionId};
 use crate::node_links::{LinkSink, NodeLinks};
+use crate::node_metrics::NodeMetrics;
 use crate::platform_ports::{EntryRegistry, OperatorFeed, PortResult};
 use crate::run_message::Packet;
 
@@ -38,7 +38,7 @@
     links: Rc<NodeLinks>,
     replies: RefCell<HashMap<RequestId, oneshot::Sender<Reply>>>,
     next_request: Cell<RequestId>,
-    figures: Figures,
+    figures: NodeMetrics,
     ended: Notify,
 }
 
@@ -53,7 +53,7 @@
             links: NodeLinks::new(),
             replies: RefCell::default(),
             next_request: Cell::new(1),
-            figures: Figures::new(),
+            figures: NodeMetrics::new(),
             ended: Notify::new(),
         });
         let sink: Rc<dyn LinkSink> = node.clone();
--- a/lib/src/entry_permits.rs
+++ b/lib/src/entry_permits.rs
@@ -7,8 +7,8 @@
 use crate::entry::{EntryCore, PermitRequest, Reply};
 use crate::ids::{Incarnation, JobSeq, TeamName};
 use crate::job::{Answer, Failure, RefusalReason};
+use crate::job_history::StepKind;
 use crate::job_table::{Job, Phase};
-use crate::journal::StepKind;
 use crate::message::{Claim, EntryMessage};
 use crate::permit::{ClaimAnswer, Permit, StoredAnswer};
 
--- a/lib/src/entry_targets.rs
+++ b/lib/src/entry_targets.rs
@@ -11,8 +11,8 @@
 use crate::health::{Ending, HealthChange};
 use crate::ids::{DispatchSeq, Incarnation, JobSeq, SessionId, TaskIndex};
 use crate::job::TaskOutcome;
+use crate::job_history::StepKind;
 use crate::job_table::{NextTask, WaitingTask};
-use crate::journal::StepKind;
 use crate::message::{
     AgentConfig, AgentHello, AgentMessage, Dispatch, DispatchFate, DispatchRefusal, EntryMessage,
     Frame, PROTOCOL_VERSION, SettledDispatch, Welcome,
--- a/lib/src/journal.rs
+++ b/lib/src/job_history.rs
@@ -69,7 +69,7 @@
 
 /// The story of one job.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Story {
+pub struct JobTimeline {
     /// The team.
     pub team: Arc<str>,
     /// The steps in order.
@@ -80,7 +80,7 @@
 
 /// Stories of recent jobs.
 #[derive(Debug, Default)]
-pub struct Journal {
+pub struct JobHistory {
     stories: HashMap<JobSeq, Chapter>,
     order: VecDeque<JobSeq>,
 }
@@ -88,10 +88,10 @@
 #[derive(Debug)]
 struct Chapter {
     began: Now,
-    story: Story,
+    story: JobTimeline,
 }
 
-impl Journal {
+impl JobHistory {
     /// Starts the story of a job.
     pub fn begin(&mut self, job: JobSeq, team: &TeamName, now: Now) {
         if self.order.len() >= MOST_JOBS
@@ -99,9 +99,9 @@
         {
             self.stories.remove(&oldest);
         }
-        let story = Story {
+        let story = JobTimeline {
             team: team.clone(),
-            ..Story::default()
+            ..JobTimeline::default()
         };
         self.order.push_back(job);
         self.stories.insert(job, Chapter { began: now, story });
@@ -122,7 +122,7 @@
     }
 
     /// The story of a job.
-    pub fn story(&self, job: JobSeq) -> Option<&Story> {
+    pub fn story(&self, job: JobSeq) -> Option<&JobTimeline> {
         self.stories.get(&job).map(|c| &c.story)
     }
 }
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -6,7 +6,7 @@
 //! - words: [`ids`], [`job`], [`message`], [`vm_list`], [`status`], [`events`], [`counters`];
 //! - parts of the decisions: [`ledger`], [`slot_table`], [`target_table`], [`job_table`],
 //!   [`placement`], [`admission`], [`run_time`], [`quota`], [`health`], [`permit`],
-//!   [`config_document`], [`config_chain`], [`journal`], [`frame_order`], [`outbox`];
+//!   [`config_document`], [`config_chain`], [`job_history`], [`frame_order`], [`outbox`];
 //! - the cores, deterministic state machines: [`entry`] (with the `entry_*` modules) and
 //!   [`agent`] (with `agent_*`).
 //!
@@ -19,7 +19,7 @@
 //! - the cores: [`batch_entry`] and [`run_agent`], with what they are told and want done in
 //!   [`batch_event`] and [`run_event`], and the choice of targets in [`batch_placing`];
 //! - what runs them: [`platform_ports`], [`node_links`], [`core_timer`], [`entry_node`],
-//!   [`agent_node`], [`line_log`], [`figures`].
+//!   [`agent_node`], [`log_writer`], [`node_metrics`].
 
 pub mod adaptive_timeout;
 pub mod admission;
@@ -66,7 +66,6 @@
 pub mod entry_targets;
 pub mod evacuations;
 pub mod events;
-pub mod figures;
 pub mod frame_order;
 pub mod health;
 pub mod http_answer;
@@ -74,19 +73,20 @@
 pub mod http_platform;
 pub mod ids;
 pub mod job;
+pub mod job_history;
 pub mod job_table;
-pub mod journal;
 pub mod json;
 pub mod ledger;
-pub mod line_log;
 pub mod link_auth;
 pub mod link_load;
 pub mod log_account;
 pub mod log_line;
+pub mod log_writer;
 pub mod memory_platform;
 pub mod memory_target;
 pub mod message;
 pub mod node_links;
+pub mod node_metrics;
 pub mod outbox;
 pub mod payload;
 pub mod payload_cache;
--- a/lib/src/line_log.rs
+++ b/lib/src/log_writer.rs
@@ -39,11 +39,11 @@
 
 /// See the module.
 #[derive(Debug, Clone, Default)]
-pub struct LineLog {
+pub struct LogWriter {
     shared: Arc<Shared>,
 }
 
-impl LineLog {
+impl LogWriter {
     /// Starts the thread that writes.
     pub fn start() -> io::Result<Self> {
         let log = Self::default();
@@ -109,7 +109,7 @@
     text[..most].rfind('\n').map_or(most, |at| at + 1)
 }
 
-impl Append for LineLog {
+impl Append for LogWriter {
     fn append(&self, record: &Record, _: &[Box<dyn Diagnostic>]) -> Result<(), logforth::Error> {
         let mut gathered = self.lock();
         if gathered.lines >= MOST_LINES {
--- a/lib/src/figures.rs
+++ b/lib/src/node_metrics.rs
@@ -19,7 +19,7 @@
 ];
 
 /// See the module.
-pub struct Figures {
+pub struct NodeMetrics {
     registry: Registry,
     _meters: SdkMeterProvider,
     events: Counter<u64>,
@@ -30,7 +30,7 @@
     link_bytes: Gauge<u64>,
 }
 
-impl Figures {
+impl NodeMetrics {
     /// Figures that all stand at zero.
     pub fn new() -> Self {
         let registry = Registry::new();
@@ -99,7 +99,7 @@
     }
 }
 
-impl Default for Figures {
+impl Default for NodeMetrics {
     fn default() -> Self {
         Self::new()
     }
--- a/lib/tests/test_outward_names.rs
+++ b/lib/tests/test_outward_names.rs
@@ -38,7 +38,6 @@
 use trestleknot_lib::entry_node::EntryNode;
 use trestleknot_lib::evacuations::EvacuatedHalls;
 use trestleknot_lib::events::{CATALOGUE, EventCode};
-use trestleknot_lib::figures::Figures;
 use trestleknot_lib::http_answer::{NEXT_PERMIT, response_for};
 use trestleknot_lib::http_api::{
     BodyLimit, Gateway, WorkerRings, caller_routes, hash_key, operator_routes,
@@ -46,13 +45,14 @@
 use trestleknot_lib::http_platform::{Appended, LeaseBody, StartBody, StopBody};
 use trestleknot_lib::ids::{JobId, Now};
 use trestleknot_lib::job::{Answer, Failure, RefusalReason, TaskOutcome, TaskSpec};
-use trestleknot_lib::journal::{Step, StepKind, Story};
+use trestleknot_lib::job_history::{JobTimeline, Step, StepKind};
 use trestleknot_lib::link_auth;
 use trestleknot_lib::message::{
     AgentConfig, AgentHello, AgentMessage, Capacity, Claim, Dispatch, DispatchFate,
     DispatchRefusal, EntryMessage, Frame, PROTOCOL_VERSION, PeerHello, PeerMessage, PeerReport,
     SettledDispatch, TeamDemand, Welcome,
 };
+use trestleknot_lib::node_metrics::NodeMetrics;
 use trestleknot_lib::payload::{Payload, PayloadPacker, PayloadUnpacker};
 use trestleknot_lib::permit::{
     ClaimAnswer, FleetSecret, Permit, PermitId, StoredAnswer, request_digest,
@@ -844,7 +844,7 @@
     }
 }
 
-fn story() -> Story {
+fn story() -> JobTimeline {
     let kinds = [
         StepKind::Admitted {
             tasks: 2,
@@ -870,7 +870,7 @@
         },
     ];
     let steps = (1..).zip(kinds).map(|(at_ms, what)| Step { at_ms, what });
-    Story {
+    JobTimeline {
         team: "team-a".into(),
         steps: steps.collect(),
         left_out: 4,
@@ -1027,7 +1027,7 @@
             "target_start" => json_again::<StartBody>(text),
             "target_leases" => json_again::<LeaseBody>(text),
             "target_stop" => json_again::<StopBody>(text),
-            "story" => json_again::<Story>(text),
+            "story" => json_again::<JobTimeline>(text),
             "status" => json_again::<EntryStatus>(text),
             "halls" => json_again::<EvacuatedHalls>(text),
             "queues" => json_again::<QueueTable>(text),
@@ -1378,7 +1378,7 @@
 
 #[test]
 fn test_render_figures() {
-    let figures = Figures::new();
+    let figures = NodeMetrics::new();
     figures.event(EventCode::BatchAdmitted);
     figures.answer(batch_event::Reply::Succeeded.kind());
     figures.response(Duration::from_millis(3));
