--- a/cli/src/fleet_status.rs
+++ b/cli/src/fleet_status.rs
@@ -7,7 +7,7 @@
 use comfy_table::Table;
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
 use trestleknot_lib::job_history::{JobTimeline, Step, StepKind};
-use trestleknot_lib::request_story::RequestStory;
+use trestleknot_lib::request_timeline::RequestTimeline;
 use trestleknot_lib::status::{EntryStatus, TargetState, TargetStatus};
 
 use crate::client::{block_on, get_json, new_client, no_answer};
@@ -229,7 +229,7 @@
 
 /// Tells a request's story from the log files of a folder.
 fn explain_from_logs(folder: &Path, id: &str) -> CliResult<ExitCode> {
-    let story = RequestStory::of(id, &read_logs(folder)?);
+    let story = RequestTimeline::of(id, &read_logs(folder)?);
     for line in &story.lines {
         anstream::println!("{:.3} {} {}", line.at, line.process, line.text);
     }
--- a/cli/src/log_account.rs
+++ b/cli/src/log_summary.rs
@@ -6,7 +6,7 @@
 use clap::ArgMatches;
 use comfy_table::Table;
 use comfy_table::presets::UTF8_HORIZONTAL_ONLY;
-use trestleknot_lib::log_account::{LogAccount, Spread};
+use trestleknot_lib::log_summary::{LogSummary, Samples};
 
 use crate::error::CliResult;
 use crate::log_files::read_logs;
@@ -14,7 +14,7 @@
 /// Adds up the logs of a folder.
 pub fn account(args: &ArgMatches) -> CliResult<ExitCode> {
     let folder = args.get_one::<PathBuf>("logs").expect("clap demands it");
-    let account = LogAccount::of(&read_logs(folder)?);
+    let account = LogSummary::of(&read_logs(folder)?);
     anstream::println!("{}", queues(&account));
     for (reason, batches) in &account.refused_on_arrival {
         anstream::println!("refused on arrival, {reason}: {batches}");
@@ -33,12 +33,12 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn quantiles(spread: &Spread) -> String {
+fn quantiles(spread: &Samples) -> String {
     let [half, most, nearly_all] = [0.5, 0.9, 0.99].map(|share| spread.quantile(share));
     format!("half within {half} ms, nine of ten within {most} ms, 99 of 100 within {nearly_all} ms")
 }
 
-fn queues(account: &LogAccount) -> Table {
+fn queues(account: &LogSummary) -> Table {
     let mut table = Table::new();
     table.load_preset(UTF8_HORIZONTAL_ONLY);
     let head = ["queue", "admitted", "in time", "late", "refused", "failed"];
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -6,8 +6,8 @@
 mod demo;
 mod error;
 mod fleet_status;
-mod log_account;
 mod log_files;
+mod log_summary;
 mod logging;
 mod operators;
 mod platform_daemons;
@@ -49,7 +49,7 @@
         Some(("diff", args)) => operators::diff(args),
         Some(("status", args)) => fleet_status::status(args),
         Some(("explain", args)) => fleet_status::explain(args),
-        Some(("account", args)) => log_account::account(args),
+        Some(("account", args)) => log_summary::account(args),
         Some(("submit", args)) => submit::submit(args),
         Some(("cancel", args)) => submit::cancel(args),
         Some(("permits", args)) => submit::permits(args),
--- a/lib/src/log_account.rs
+++ b/lib/src/log_summary.rs
@@ -10,11 +10,11 @@
 
 /// Values of which quantiles are wanted, in milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Spread {
+pub struct Samples {
     values: Vec<u64>,
 }
 
-impl Spread {
+impl Samples {
     fn add(&mut self, value: u64) {
         self.values.push(value);
     }
@@ -31,7 +31,7 @@
 
 /// What became of the batches of one queue.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct QueueAccount {
+pub struct QueueSummary {
     /// Taken in.
     pub admitted: u64,
     /// Answered well within the objective.
@@ -46,9 +46,9 @@
 
 /// See the module.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct LogAccount {
+pub struct LogSummary {
     /// By queue.
-    pub queues: BTreeMap<String, QueueAccount>,
+    pub queues: BTreeMap<String, QueueSummary>,
     /// Batches refused on arrival, by reason.
     pub refused_on_arrival: BTreeMap<String, u64>,
     /// Tasks sent to targets.
@@ -58,14 +58,14 @@
     /// Slow runs that were stopped to go on elsewhere.
     pub moved: u64,
     /// From a batch's arrival until tasks of it were sent.
-    pub waited: Spread,
+    pub waited: Samples,
     /// Age of the last word of a target when tasks were sent to it.
-    pub known_for: Spread,
+    pub known_for: Samples,
     /// Lines that were dropped, for more came than a log takes.
     pub dropped_lines: u64,
 }
 
-impl LogAccount {
+impl LogSummary {
     /// Adds up the logs, each given with its process's name.
     pub fn of(logs: &[(String, String)]) -> Self {
         let mut account = Self::default();
@@ -107,7 +107,7 @@
         }
     }
 
-    fn queue(&mut self, text: &str) -> &mut QueueAccount {
+    fn queue(&mut self, text: &str) -> &mut QueueSummary {
         let name = value(text, "queue").unwrap_or("-");
         self.queues.entry(name.to_owned()).or_default()
     }
--- a/lib/src/request_story.rs
+++ b/lib/src/request_timeline.rs
@@ -10,7 +10,7 @@
 
 /// See the module.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RequestStory {
+pub struct RequestTimeline {
     /// The lines, in order of time.
     pub lines: Vec<LogLine>,
     /// What became of the request, in words.
@@ -21,7 +21,7 @@
     text.starts_with("batch answered") || text.starts_with("batch refused")
 }
 
-impl RequestStory {
+impl RequestTimeline {
     /// Puts a story together. `logs` gives each process's name and its log.
     pub fn of(id: &str, logs: &[(String, String)]) -> Self {
         let mut ids = BTreeSet::from([id.to_owned()]);
--- a/lib/tests/test_log_account.rs
+++ b/lib/tests/test_log_summary.rs
@@ -1,6 +1,6 @@
 //! Accounts from log lines.
 
-use trestleknot_lib::log_account::LogAccount;
+use trestleknot_lib::log_summary::LogSummary;
 
 const ENTRY: &str = "\
 t=10.000 level=INFO batch admitted: job=aa01 request=r1 queue=q tasks=2
@@ -20,10 +20,10 @@
 #[test]
 fn test_of_entry_log() {
     let logs = [("entry-1".to_owned(), ENTRY.to_owned())];
-    insta::assert_debug_snapshot!(LogAccount::of(&logs));
+    insta::assert_debug_snapshot!(LogSummary::of(&logs));
 }
 
 #[test]
 fn test_quantile_without_values() {
-    assert_eq!(LogAccount::default().waited.quantile(0.5), 0);
+    assert_eq!(LogSummary::default().waited.quantile(0.5), 0);
 }
--- a/lib/tests/test_request_story.rs
+++ b/lib/tests/test_request_timeline.rs
@@ -1,6 +1,6 @@
 //! Stories of requests from log lines.
 
-use trestleknot_lib::request_story::RequestStory;
+use trestleknot_lib::request_timeline::RequestTimeline;
 
 fn logs() -> Vec<(String, String)> {
     let entry = "\
@@ -25,12 +25,12 @@
 
 #[test]
 fn test_of_late_request() {
-    insta::assert_debug_snapshot!(RequestStory::of("r1", &logs()));
+    insta::assert_debug_snapshot!(RequestTimeline::of("r1", &logs()));
 }
 
 #[test]
 fn test_of_verdicts() {
     let ids = ["aa01", "r2", "r3", "r4", "r5", "r6"];
-    let verdicts = ids.map(|id| RequestStory::of(id, &logs()).verdict);
+    let verdicts = ids.map(|id| RequestTimeline::of(id, &logs()).verdict);
     insta::assert_debug_snapshot!(verdicts);
 }
