--- a/lib/src/clock.rs
+++ b/lib/src/clock.rs
@@ -1,8 +1,8 @@
-//! The clock of everything that a process proves or promises.
+//! A clock for leases and deadlines that includes the time for which the VM was suspended.
 //!
-//! It counts the time for which its VM was suspended. The steady clock of the standard library
-//! stands still meanwhile: leases, proofs and deadlines counted on it would outlive what the rest of
-//! the fleet counts, and orders given before the suspension would pass for fresh ones after it.
+//! `std::time::Instant` stops during a suspension. Leases and deadlines measured with it would last
+//! longer here than on the rest of the fleet, and calls from before the suspension would seem
+//! recent.
 
 use std::cell::Cell;
 use std::ops::{Add, Sub};
@@ -10,53 +10,54 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Less than this is the time between the readings of two clocks.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(1);
+/// Shorter differences come from the time between reading the two clocks.
+const MIN_SUSPENSION: Duration = Duration::from_millis(1);
 
-/// A moment, counted from the start of the VM.
+/// Time since the start of the VM, suspensions included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// The present moment.
+    /// Returns the current time.
     pub fn now() -> Self {
         let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
         Self(time.expect("every supported Linux has this clock").into())
     }
 
-    /// Time that has passed since.
+    /// Time that has passed since this instant.
     pub fn elapsed(self) -> Duration {
         Self::now() - self
     }
 }
 
-/// Notices how long the VM was suspended.
+/// Measures how long the VM was suspended.
 #[derive(Debug)]
 pub struct SuspensionWatch {
-    known: Cell<Duration>,
+    /// Total suspended time at the last reading.
+    last_total: Cell<Duration>,
 }
 
 impl SuspensionWatch {
-    /// A watch that begins now.
+    /// Starts measuring now.
     pub fn start() -> Self {
         Self {
-            known: Cell::new(time_suspended()),
+            last_total: Cell::new(time_suspended()),
         }
     }
 
-    /// For how long the VM was suspended since this was last asked.
+    /// Returns how long the VM was suspended since the previous call, or since the start.
     pub fn take(&self) -> Duration {
         let suspended = time_suspended();
-        let news = suspended.saturating_sub(self.known.get());
-        self.known.set(self.known.get().max(suspended));
-        if news < LEAST_SUSPENSION {
+        let since_last = suspended.saturating_sub(self.last_total.get());
+        self.last_total.set(self.last_total.get().max(suspended));
+        if since_last < MIN_SUSPENSION {
             return Duration::ZERO;
         }
-        news
+        since_last
     }
 }
 
-/// How long the VM has been suspended since its start.
+/// Total time for which the VM has been suspended since its start.
 fn time_suspended() -> Duration {
     let awake = clock_gettime(ClockId::CLOCK_MONOTONIC);
     let awake: Duration = awake.expect("every Linux has this clock").into();
@@ -74,7 +75,7 @@
 impl Sub for BootInstant {
     type Output = Duration;
 
-    /// Time from `earlier` until this moment; none if `earlier` is later.
+    /// Time from `earlier` until this instant; zero if `earlier` is later.
     fn sub(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
--- a/lib/src/codec.rs
+++ b/lib/src/codec.rs
@@ -6,16 +6,16 @@
 
 use crate::message::Frame;
 
-/// Largest frame in bytes that is sent or accepted.
-pub const MOST_FRAME_BYTES: usize = 4 * 1024 * 1024;
+/// Largest frame that a session sends or accepts, in bytes.
+pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
-/// Bytes that are no frame.
+/// Why bytes could not be decoded.
 #[derive(Debug, Snafu)]
 pub enum CodecError {
-    /// They do not parse.
+    /// The bytes are not valid CBOR of the expected type.
     #[snafu(display("malformed frame: {source}"))]
     Malformed {
-        /// Cause.
+        /// Error of the decoder.
         source: ciborium::de::Error<std::io::Error>,
     },
 }
@@ -25,7 +25,7 @@
     encode_value(frame)
 }
 
-/// Encodes anything.
+/// Encodes any serializable value.
 pub fn encode_value<T: Serialize>(value: &T) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(128);
     ciborium::into_writer(value, &mut bytes).expect("writing to a vector can't fail");
@@ -37,7 +37,7 @@
     decode_value(bytes)
 }
 
-/// Decodes anything.
+/// Decodes any deserializable value.
 pub fn decode_value<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     ciborium::from_reader(bytes).context(MalformedSnafu)
 }
--- a/lib/src/config_chain.rs
+++ b/lib/src/config_chain.rs
@@ -1,9 +1,9 @@
-//! Which configuration is in force, from the platform's log and from peers.
+//! Determines the configuration in force from the platform's log and from peers.
 //!
-//! The log is a total order. A change record names the version that it replaces and takes
-//! effect only if that is the head when the log reaches it; so all who have read the log to the
-//! same offset hold the same head. A [`ConfigState`] is a head together with the offset up to
-//! which it is exact. States only ever move to a higher version, which is why nothing reverts.
+//! The log is totally ordered. A change record names the configuration that it replaces, and takes
+//! effect only if that is the head at its offset. All processes that have read the log to the same
+//! offset therefore have the same head. A [`ConfigState`] is a head with the offset up to which it
+//! is exact. The version of a state never decreases.
 
 use std::sync::Arc;
 
@@ -13,142 +13,145 @@
 use crate::config_document::Document;
 use crate::ids::Now;
 
-/// Position in the platform's log.
+/// Offset of a record in the platform's log.
 pub type LogOffset = u64;
-/// Count of changes since the empty configuration.
+/// Number of changes since the empty configuration.
 pub type ConfigVersion = u64;
 /// First half of the SHA-256 of a document's canonical text.
 pub type ConfigDigest = u64;
 
-/// Names one configuration.
+/// Identifies one configuration.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize,
 )]
 pub struct ConfigStamp {
-    /// Its version.
+    /// Version of the configuration.
     #[serde(rename = "v")]
     pub version: ConfigVersion,
-    /// Its digest.
+    /// Digest of the configuration.
     #[serde(rename = "d")]
     pub digest: ConfigDigest,
 }
 
-/// A configuration and up to where in the log it is known to be the head.
+/// A configuration and the log offset up to which it is known to be the head.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigState {
-    /// Which one.
+    /// Stamp of the configuration.
     pub stamp: ConfigStamp,
     /// Canonical text of the document.
     pub text: Arc<str>,
-    /// Every record below this offset has been taken into account.
+    /// Offset below which all records are included.
     pub read_to: LogOffset,
 }
 
-/// What trestleknot writes to the platform's log.
+/// A record that trestleknot writes to the platform's log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
 pub enum LogRecord {
     /// An operator's change.
     Change {
-        /// Drawn at random by the writer, who finds its own record by it.
+        /// Random number by which the writer recognizes its own record.
         nonce: u64,
-        /// The configuration that it replaces.
+        /// Stamp of the configuration that the change replaces.
         replaces: ConfigStamp,
-        /// The new one.
+        /// Canonical text of the new document.
         text: Arc<str>,
-        /// Who wrote it, for people.
+        /// Author of the change, for display only.
         author: String,
     },
-    /// The head, written again before retention drops it.
+    /// A copy of the head, written before retention drops the last one.
     Snapshot {
-        /// The head and where it was exact.
+        /// The head, with the offset up to which it was exact.
         state: ConfigState,
     },
 }
 
-/// A record and where it stands.
+/// A record with its offset in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRecord {
     /// Offset in the log.
     pub offset: LogOffset,
-    /// The record, or none for a record that is not ours to read.
+    /// The record, or none if it is not one of trestleknot's.
     pub record: Option<LogRecord>,
 }
 
-/// What one read of the log returned.
+/// Result of one read of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogBatch {
-    /// Where the read began: the offset asked for, or the oldest that is still kept.
+    /// Offset at which the read began: the requested one, or the oldest retained one if that is
+    /// higher.
     pub from: LogOffset,
-    /// The oldest offset that is still kept.
+    /// The oldest retained offset.
     pub oldest: LogOffset,
-    /// Records in order.
+    /// Records in the order of their offsets.
     pub records: Vec<StoredRecord>,
-    /// Where to read on.
+    /// Offset at which the next read begins.
     pub next: LogOffset,
-    /// Offset that the next append gets.
+    /// Offset of the next record to be appended.
     pub end: LogOffset,
 }
 
-/// The fate of one change.
+/// Outcome of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeFate {
-    /// It became the head.
+    /// The change became the head.
     InForce(ConfigStamp),
-    /// Another change had replaced the same version before.
+    /// The configuration that the change replaces was not the head any more.
     LostRace {
-        /// The head that it met.
+        /// The head at the offset of the change.
         head: ConfigStamp,
     },
 }
 
-/// A change that was reached while reading.
+/// A change that was decided by reading the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SeenChange {
-    /// Nonce of its writer.
+    /// Nonce of the change's record.
     pub nonce: u64,
-    /// What became of it.
+    /// Outcome of the change.
     pub fate: ChangeFate,
 }
 
-/// What taking over a state changed.
+/// Result of adopting a state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Adopted {
-    /// The head moved forward.
+    /// The head was replaced by a newer one.
     Newer,
-    /// The head is the same, but known to be exact further on.
+    /// The head is unchanged, but known to be exact up to a higher offset.
     Extended,
-    /// Nothing.
+    /// Nothing changed.
     Nothing,
 }
 
-/// Follows the log.
+/// Follows the log and holds the newest known configuration.
 #[derive(Debug, Default)]
 pub struct ConfigChain {
-    held: Option<Held>,
+    held: Option<HeldConfig>,
     newest_known: ConfigStamp,
-    /// Offset and time of the newest record that holds the head.
-    anchor: Option<LogOffset>,
-    anchored_at: Now,
+    /// Offset of the newest record that contains the head.
+    head_offset: Option<LogOffset>,
+    /// When that record was read, or a snapshot sent.
+    head_written_at: Now,
     oldest: LogOffset,
     read_from: LogOffset,
     gap: Option<Gap>,
 }
 
-/// Records that expired before they were read.
+/// A range of records that expired before they were read.
 #[derive(Debug)]
 struct Gap {
+    /// Oldest offset that could be read after the gap.
     kept_from: LogOffset,
     since: Now,
 }
 
 #[derive(Debug)]
-struct Held {
+struct HeldConfig {
     state: ConfigState,
     document: Arc<Document>,
 }
 
-/// Stamp of a document's canonical text at a version.
+/// Returns the stamp of a document's canonical text at a version.
 pub fn stamp_of(version: ConfigVersion, text: &str) -> ConfigStamp {
     let hash = Sha256::digest(text.as_bytes());
     let mut first = [0; 8];
@@ -160,58 +163,58 @@
 }
 
 impl ConfigState {
-    /// Whether the text is the one that the stamp names. Version 0 is the empty configuration.
-    fn is_sound(&self) -> bool {
+    /// Whether the stamp matches the text. Version 0 is the empty configuration and always matches.
+    fn has_valid_stamp(&self) -> bool {
         self.stamp == ConfigStamp::default()
             || stamp_of(self.stamp.version, &self.text) == self.stamp
     }
 }
 
 impl ConfigChain {
-    /// Where the next read of the log begins.
+    /// Offset at which the next read of the log begins.
     pub fn read_from(&self) -> LogOffset {
         self.read_from
     }
 
-    /// The configuration in force as far as is known here.
+    /// The newest known configuration, if any.
     pub fn document(&self) -> Option<&Arc<Document>> {
         self.held.as_ref().map(|h| &h.document)
     }
 
-    /// Its state, for peers and snapshots.
+    /// State of the held configuration, for peers and snapshots.
     pub fn state(&self) -> Option<&ConfigState> {
         self.held.as_ref().map(|h| &h.state)
     }
 
-    /// Its stamp; version 0 while none is held.
+    /// Stamp of the held configuration; version 0 while none is held.
     pub fn stamp(&self) -> ConfigStamp {
         self.state().map(|s| s.stamp).unwrap_or_default()
     }
 
-    /// Takes in that somebody holds or has heard of a configuration.
+    /// Records the stamp of a configuration that exists elsewhere.
     pub fn heard_of(&mut self, stamp: ConfigStamp) {
         if stamp.version > self.newest_known.version {
             self.newest_known = stamp;
         }
     }
 
-    /// Newest configuration heard of.
+    /// Stamp of the newest configuration that is known to exist.
     pub fn newest_known(&self) -> ConfigStamp {
         self.newest_known.max(self.stamp())
     }
 
-    /// Whether a configuration is held and none newer is known of.
+    /// Whether a configuration is held, with no gap and no newer one known.
     pub fn is_current(&self) -> bool {
         self.held.is_some() && !self.has_gap() && self.stamp().version >= self.newest_known.version
     }
 
-    /// Takes over a state from a peer or a snapshot.
+    /// Adopts a state from a peer or a snapshot if it is newer or exact up to a higher offset.
     pub fn adopt(&mut self, state: &ConfigState) -> Adopted {
         let newer = match &self.held {
             None => true,
             Some(held) => state.stamp.version > held.state.stamp.version,
         };
-        if newer && state.is_sound() && self.install(state.clone()) {
+        if newer && state.has_valid_stamp() && self.install(state.clone()) {
             return Adopted::Newer;
         }
         if let Some(held) = &mut self.held
@@ -231,18 +234,18 @@
         };
         self.heard_of(state.stamp);
         self.read_from = state.read_to;
-        self.anchor = None;
-        self.held = Some(Held {
+        self.head_offset = None;
+        self.held = Some(HeldConfig {
             document: Arc::new(document),
             state,
         });
         true
     }
 
-    /// Takes in a read of the log. Returns the changes that it decided.
+    /// Applies a read of the log and returns the changes that it decided.
     ///
-    /// If records between what is held and what is kept have expired, the held state can't be
-    /// carried forward by the log; then a snapshot or a peer must, see [`Self::has_gap`].
+    /// If records after the held state have expired unread, the log can't bring that state up to
+    /// date. A snapshot or a peer has to fill the gap, see [`Self::has_gap`].
     pub fn read(&mut self, batch: &LogBatch, now: Now) -> Vec<SeenChange> {
         if self.held.is_none() && batch.from == 0 {
             self.install(empty_state());
@@ -252,7 +255,7 @@
         let mut at = 0;
         while let Some(stored) = batch.records.get(at) {
             let adopted = self.read_record(stored, batch.from, now, &mut seen);
-            // Records between the snapshot's state and the snapshot have to be read again.
+            // Records between the snapshot's state and the snapshot itself have to be read again.
             at = if adopted == Adopted::Nothing {
                 at + 1
             } else {
@@ -260,11 +263,11 @@
             };
         }
         self.read_from = self.read_from.max(batch.next);
-        self.note_read_to(batch, now);
+        self.advance_read_to(batch, now);
         seen
     }
 
-    fn note_read_to(&mut self, batch: &LogBatch, now: Now) {
+    fn advance_read_to(&mut self, batch: &LogBatch, now: Now) {
         let Some(held) = &mut self.held else {
             return;
         };
@@ -279,7 +282,7 @@
         }
     }
 
-    /// Whether records expired unread, so that a change may have been missed.
+    /// Whether records have expired unread, so that a change may have been missed.
     pub fn has_gap(&self) -> bool {
         match (&self.gap, self.state()) {
             (Some(gap), Some(state)) => state.read_to < gap.kept_from,
@@ -287,13 +290,13 @@
         }
     }
 
-    /// Ends a gap that nobody could fill for `patience`: no peer and no snapshot knows better,
-    /// so what is held is the newest that still exists.
-    pub fn close_old_gap(&mut self, now: Now, patience: std::time::Duration) {
+    /// Closes a gap that no peer and no snapshot has filled for `timeout`. The held state then
+    /// counts as the newest that still exists.
+    pub fn close_old_gap(&mut self, now: Now, timeout: std::time::Duration) {
         let Some(gap) = &self.gap else {
             return;
         };
-        if now.saturating_sub(gap.since) < patience {
+        if now.saturating_sub(gap.since) < timeout {
             return;
         }
         if let Some(held) = &mut self.held {
@@ -303,7 +306,7 @@
         self.gap = None;
     }
 
-    /// Reads one record. Returns what a snapshot changed.
+    /// Applies one record. Returns what it changed if it is a snapshot.
     fn read_record(
         &mut self,
         stored: &StoredRecord,
@@ -320,7 +323,7 @@
             }) => {
                 if let Some(fate) = self.read_change(stored.offset, from, *replaces, text) {
                     if matches!(fate, ChangeFate::InForce(_)) {
-                        self.set_anchor(stored.offset, now);
+                        self.note_head_record(stored.offset, now);
                     }
                     let nonce = *nonce;
                     seen.push(SeenChange { nonce, fate });
@@ -335,7 +338,7 @@
                     Adopted::Nothing
                 };
                 if state.stamp == self.stamp() {
-                    self.set_anchor(stored.offset, now);
+                    self.note_head_record(stored.offset, now);
                 }
                 adopted
             }
@@ -343,12 +346,12 @@
         }
     }
 
-    fn set_anchor(&mut self, offset: LogOffset, now: Now) {
-        self.anchor = Some(offset);
-        self.anchored_at = now;
+    fn note_head_record(&mut self, offset: LogOffset, now: Now) {
+        self.head_offset = Some(offset);
+        self.head_written_at = now;
     }
 
-    /// Applies a change if the held state is exact up to it.
+    /// Applies a change if the held state is exact up to its offset. Returns none otherwise.
     fn read_change(
         &mut self,
         offset: LogOffset,
@@ -376,21 +379,22 @@
         Some(ChangeFate::LostRace { head })
     }
 
-    /// Whether the head was last written to the log so long ago that retention may drop it, or
-    /// has dropped out of it already.
+    /// Whether the last record with the head is older than `every` or has expired from the log.
     pub fn needs_snapshot(&self, now: Now, every: std::time::Duration) -> bool {
         let held = self
             .held
             .as_ref()
             .is_some_and(|h| h.state.stamp.version > 0);
-        let expired = self.anchor.is_none_or(|anchor| anchor < self.oldest);
-        held && (expired || now.saturating_sub(self.anchored_at) >= every)
+        let expired = self
+            .head_offset
+            .is_none_or(|head_offset| head_offset < self.oldest);
+        held && (expired || now.saturating_sub(self.head_written_at) >= every)
     }
 
-    /// Puts the next snapshot off, because one was just sent.
+    /// Records that a snapshot was sent, which delays the next one.
     pub fn snapshot_sent(&mut self, now: Now) {
-        self.anchor = Some(self.read_from);
-        self.anchored_at = now;
+        self.head_offset = Some(self.read_from);
+        self.head_written_at = now;
     }
 }
 
--- a/lib/src/config_document.rs
+++ b/lib/src/config_document.rs
@@ -1,4 +1,4 @@
-//! The configuration that operators apply: one whole document in JSON with comments.
+//! The configuration that operators apply: one complete document in JSON with comments.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,18 +10,18 @@
 use crate::json::{self, JsonError};
 use crate::placement::PlacementMode;
 
-/// Longest lease that is accepted.
-const MOST_LEASE_MS: u32 = 60_000;
-/// Shortest lease that is accepted; renewals go out three times a lease.
-const LEAST_LEASE_MS: u32 = 300;
+/// Longest accepted lease in milliseconds.
+const MAX_LEASE_MS: u32 = 60_000;
+/// Shortest accepted lease in milliseconds; a lease is renewed three times while it lasts.
+const MIN_LEASE_MS: u32 = 300;
 /// Hexadecimal digits of a SHA-256.
-const KEY_DIGITS: usize = 64;
+const KEY_HASH_DIGITS: usize = 64;
 
 /// A configuration document.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Who may submit, and how much.
+    /// Teams that may submit jobs, with their quotas.
     #[serde(default)]
     pub teams: BTreeMap<TeamName, Team>,
     /// How entries place tasks.
@@ -30,10 +30,10 @@
     /// Length of a task's lease on its target, in milliseconds.
     #[serde(default = "default_lease_ms")]
     pub lease_ms: u32,
-    /// Most tasks that wait at one entry.
+    /// Most tasks that may wait at one entry.
     #[serde(default = "default_waiting")]
     pub max_waiting_tasks: u32,
-    /// Longest deadline a caller may ask for, in milliseconds.
+    /// Longest deadline that a caller may request, in milliseconds.
     #[serde(default = "default_deadline_ms")]
     pub max_deadline_ms: u64,
 }
@@ -56,36 +56,36 @@
 pub struct Team {
     /// SHA-256 of the team's key, in hexadecimal.
     pub key_sha256: String,
-    /// Most tasks in flight in the whole fleet.
+    /// Most tasks in flight across the fleet.
     pub quota: u32,
 }
 
-/// Why a document was not accepted.
+/// Why a document was rejected or could not be encoded.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum DocumentError {
-    /// It does not parse.
+    /// The text is not valid JSON of a document.
     #[snafu(transparent)]
     Json {
-        /// Place and cause.
+        /// Error of the parser, with its position.
         source: JsonError,
     },
-    /// A value can't be.
+    /// A value is not allowed.
     #[snafu(display("{origin}: `{key}` is {found}: expected {expected}"))]
     Value {
-        /// The file.
+        /// Name of the document.
         origin: String,
         /// Path of the key.
         key: String,
-        /// What stands there.
+        /// The rejected value.
         found: String,
-        /// What may stand there.
+        /// Description of the allowed values.
         expected: String,
     },
-    /// It can't be written.
+    /// The document could not be encoded.
     #[snafu(display("the document can't be encoded"))]
     Encode {
-        /// Cause.
+        /// Error of the encoder.
         source: serde_json::Error,
     },
 }
@@ -103,32 +103,32 @@
 }
 
 impl Document {
-    /// Reads a document; `origin` names it in errors.
+    /// Parses and validates a document; errors name it by `origin`.
     pub fn parse(origin: &str, text: &str) -> Result<Self, DocumentError> {
         let document: Self = json::parse(origin, text)?;
         document.check(origin)?;
         Ok(document)
     }
 
-    /// The text that goes to the log: the same for equal documents.
+    /// Returns the canonical text, which is the same for equal documents.
     pub fn canonical(&self) -> Result<String, DocumentError> {
         serde_json::to_string(self).context(EncodeSnafu)
     }
 
-    /// Length of a lease.
+    /// Length of a task's lease.
     pub fn lease(&self) -> Duration {
         Duration::from_millis(u64::from(self.lease_ms))
     }
 
     fn check(&self, origin: &str) -> Result<(), DocumentError> {
-        let lease_fits = (LEAST_LEASE_MS..=MOST_LEASE_MS).contains(&self.lease_ms);
+        let lease_fits = (MIN_LEASE_MS..=MAX_LEASE_MS).contains(&self.lease_ms);
         ensure!(
             lease_fits,
             ValueSnafu {
                 origin,
                 key: "lease_ms",
                 found: self.lease_ms.to_string(),
-                expected: format!("{LEAST_LEASE_MS} to {MOST_LEASE_MS}"),
+                expected: format!("{MIN_LEASE_MS} to {MAX_LEASE_MS}"),
             }
         );
         for (name, team) in &self.teams {
@@ -157,7 +157,7 @@
 impl Team {
     fn check(&self, origin: &str, name: &str) -> Result<(), DocumentError> {
         let digits = self.key_sha256.chars();
-        let is_digest = digits.clone().count() == KEY_DIGITS
+        let is_digest = digits.clone().count() == KEY_HASH_DIGITS
             && digits.clone().all(|c| matches!(c, '0'..='9' | 'a'..='f'));
         ensure!(
             is_digest,
--- a/lib/src/entry_leases.rs
+++ b/lib/src/entry_leases.rs
@@ -1,7 +1,7 @@
-//! What an agent knows of the entries: their links, and until when each answers for its runs.
+//! An agent's links to the entries, and the lease that each entry has on its own runs.
 //!
-//! An entry's lease is given on the agent's own clock, so it holds its meaning however long the
-//! packet that carries it waits in a socket while either side stands still.
+//! A lease's end is a time on the agent's clock, so it stays correct when a packet is delayed or
+//! either process stalls.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use crate::run_message::AgentNews;
 use crate::timings::Timings;
 
-/// How often an entry with waiting tasks is told of a changed load.
-const LOAD_TO_WAITING: Duration = Duration::from_millis(3);
-/// How often any other entry is told of a changed load, for each link that the agent has: three
-/// entries hear of it within 36 ms, and what an agent sends does not grow with their number.
-const LOAD_PER_LINK: Duration = Duration::from_millis(12);
+/// Minimum interval between load reports to an entry with waiting tasks.
+const LOAD_INTERVAL_WAITING: Duration = Duration::from_millis(3);
+/// Minimum interval between load reports to any other entry, per link of the agent: the total rate
+/// does not grow with the number of entries.
+const LOAD_INTERVAL_PER_LINK: Duration = Duration::from_millis(12);
 
 /// A link to an entry.
 #[derive(Debug, Default)]
 pub struct EntryLink {
-    /// The entry's life, once it has said so.
+    /// The entry's incarnation, once known.
     pub entry: Option<Incarnation>,
-    /// Its name.
+    /// The entry's name, once known.
     pub name: Option<NodeName>,
     /// News to be sent.
     pub news: Vec<AgentNews>,
@@ -31,25 +31,25 @@
     pub starts_seen: u64,
     /// Tasks that wait at the entry.
     pub waiting: u32,
-    /// When something was last heard.
+    /// When a packet was last received.
     pub heard: Now,
-    /// When something was last sent.
+    /// When a packet was last sent.
     pub sent: Now,
-    /// Free room that this entry may take.
+    /// Free capacity that this entry may use.
     pub share: Resources,
-    /// The share that it was told last.
-    told: Resources,
+    /// Share in the last packet to the entry.
+    sent_share: Resources,
 }
 
 impl EntryLink {
-    /// When a packet is due.
-    fn due_at(&self, load_every: Duration, heartbeat: Duration) -> Now {
+    /// When the next packet is due.
+    fn due_at(&self, load_interval: Duration, heartbeat: Duration) -> Now {
         if !self.news.is_empty() {
             return Now::ZERO;
         }
-        match (self.told != self.share, self.waiting > 0) {
-            (true, true) => self.sent + LOAD_TO_WAITING,
-            (true, false) => self.sent + load_every,
+        match (self.sent_share != self.share, self.waiting > 0) {
+            (true, true) => self.sent + LOAD_INTERVAL_WAITING,
+            (true, false) => self.sent + load_interval,
             (false, _) => self.sent + heartbeat,
         }
     }
@@ -58,9 +58,9 @@
 /// A packet that is due.
 #[derive(Debug)]
 pub struct DuePacket {
-    /// The link.
+    /// Link to send it on.
     pub link: SessionId,
-    /// Free room that the entry may take.
+    /// Free capacity that the entry may use.
     pub free: Resources,
     /// Starts received on the link.
     pub starts_seen: u64,
@@ -68,7 +68,7 @@
     pub news: Vec<AgentNews>,
 }
 
-/// See the module.
+/// The links to the entries, with the entries' leases and shares of the free capacity.
 #[derive(Debug)]
 pub struct EntryLeases {
     timings: Timings,
@@ -78,7 +78,7 @@
 }
 
 impl EntryLeases {
-    /// An agent without any link.
+    /// Creates the state of an agent without links.
     pub fn new(timings: Timings) -> Self {
         Self {
             timings,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Notes a new link.
+    /// Adds a new link.
     pub fn opened(&mut self, now: Now, link: SessionId) {
         let fresh = EntryLink {
             heard: now,
@@ -98,7 +98,7 @@
         self.links.insert(link, fresh);
     }
 
-    /// Notes that a link is gone; its entry has a short grace to come back.
+    /// Removes a closed link. Its entry's lease is cut to the reconnect grace.
     pub fn closed(&mut self, now: Now, link: SessionId) -> Option<EntryLink> {
         let gone = self.links.remove(&link)?;
         self.shares.leave(link);
@@ -108,8 +108,8 @@
         Some(gone)
     }
 
-    /// Notes an entry's word on a link. A lease from before the link was closed does not count
-    /// again: leases only grow through packets of a live link.
+    /// Records a packet from an entry. Does nothing if the link is closed: only packets on an open
+    /// link extend a lease.
     pub fn heard(&mut self, now: Now, link: SessionId, lease_until: Now, waiting: u32) {
         let Some(found) = self.links.get_mut(&link) else {
             return;
@@ -122,32 +122,32 @@
         }
     }
 
-    /// Whether an entry answers for its runs.
+    /// Whether an entry's lease on its runs is still valid.
     pub fn is_held(&self, now: Now, entry: Incarnation) -> bool {
         self.until.get(&entry).is_some_and(|until| *until > now)
     }
 
-    /// When an entry's lease runs out.
+    /// When an entry's lease lapses; zero if the entry is unknown.
     pub fn until(&self, entry: Incarnation) -> Now {
         self.until.get(&entry).copied().unwrap_or_default()
     }
 
-    /// Forgets entries whose lease ran out long ago.
+    /// Forgets entries whose lease lapsed before this time.
     pub fn forget_before(&mut self, before: Now) {
         self.until.retain(|_, until| *until >= before);
     }
 
-    /// A link.
+    /// Returns a link.
     pub fn get(&self, link: SessionId) -> Option<&EntryLink> {
         self.links.get(&link)
     }
 
-    /// A link.
+    /// Returns a link.
     pub fn get_mut(&mut self, link: SessionId) -> Option<&mut EntryLink> {
         self.links.get_mut(&link)
     }
 
-    /// All links.
+    /// Iterates over all links.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (SessionId, &mut EntryLink)> {
         self.links.iter_mut().map(|(id, link)| (*id, link))
     }
@@ -162,7 +162,7 @@
         self.links.is_empty()
     }
 
-    /// Adds news for an entry, if a link to it stands.
+    /// Queues news for an entry, if there is a link to it.
     pub fn tell(&mut self, entry: Incarnation, news: AgentNews) {
         let link = self.links.values_mut().find(|l| l.entry == Some(entry));
         if let Some(link) = link {
@@ -170,14 +170,14 @@
         }
     }
 
-    /// Adds news for all entries.
+    /// Queues news for all entries.
     pub fn tell_all(&mut self, news: &AgentNews) {
         for link in self.links.values_mut() {
             link.news.push(news.clone());
         }
     }
 
-    /// Notes starts that an entry has ordered.
+    /// Records starts that an entry has requested.
     pub fn ordered(&mut self, link: SessionId, starts: u64) {
         if let Some(found) = self.links.get_mut(&link) {
             found.starts_seen += starts;
@@ -185,34 +185,34 @@
         }
     }
 
-    /// Shares the target's free room among the entries.
-    pub fn share_room(&mut self, now: Now, room: FreeCapacity) {
+    /// Divides the target's free capacity among the entries.
+    pub fn share_room(&mut self, now: Now, free: FreeCapacity) {
         let demand = |(link, found): (&SessionId, &EntryLink)| Demand {
             link: *link,
             waiting: found.waiting,
         };
         let demands: Vec<Demand> = self.links.iter().map(demand).collect();
-        let shares = self.shares.share(now, room, &demands);
+        let shares = self.shares.share(now, free, &demands);
         for (link, share) in self.links.values_mut().zip(shares) {
             link.share = share;
         }
     }
 
-    fn load_every(&self) -> Duration {
-        (LOAD_PER_LINK * self.links.len() as u32).min(self.timings.heartbeat)
+    fn load_interval(&self) -> Duration {
+        (LOAD_INTERVAL_PER_LINK * self.links.len() as u32).min(self.timings.heartbeat)
     }
 
-    /// Links on which a packet is due, with what it is to say.
+    /// Takes the packets that are due, at most one for each link.
     pub fn take_due(&mut self, now: Now) -> Vec<DuePacket> {
         let mut due = Vec::new();
         let heartbeat = self.timings.heartbeat;
-        let load_every = self.load_every();
+        let load_interval = self.load_interval();
         for (id, link) in &mut self.links {
-            if link.due_at(load_every, heartbeat) > now {
+            if link.due_at(load_interval, heartbeat) > now {
                 continue;
             }
             link.sent = now;
-            link.told = link.share;
+            link.sent_share = link.share;
             due.push(DuePacket {
                 link: *id,
                 free: link.share,
@@ -234,16 +234,16 @@
             .collect()
     }
 
-    /// When something is due next.
+    /// When the next packet, silence timeout or change of shares is due.
     pub fn next_wake(&self) -> Option<Now> {
-        let load_every = self.load_every();
+        let load_interval = self.load_interval();
         let Timings {
             heartbeat,
             silent_link,
             ..
         } = self.timings;
         let due = |link: &EntryLink| {
-            link.due_at(load_every, heartbeat)
+            link.due_at(load_interval, heartbeat)
                 .min(link.heard + silent_link)
         };
         let links = self.links.values().map(due);
--- a/lib/src/evacuations.rs
+++ b/lib/src/evacuations.rs
@@ -1,12 +1,11 @@
-//! Data halls that the operator has emptied: their targets get no new work until they are given back.
+//! Evacuated data halls: their targets get no new work until the operator ends the evacuation.
 //!
-//! What runs there ends in peace; renewals, stops and lists go on. Entries leave an evacuated hall out
-//! of every choice, and the agent beside each target refuses what an entry sends that does not know
-//! yet.
+//! Running tasks continue, as do renewals, stops and lists. Entries place nothing in an evacuated
+//! hall, and agents there refuse starts from entries that do not know of the evacuation yet.
 //!
-//! The operator's records lie in a log, so a state is named by the place in the log up to which it
-//! holds. Invariant: in one life of a process that place never falls. A stale read, or an entry that
-//! was cut off, can neither bring back what was withdrawn nor forget what was ordered.
+//! A state is identified by its position in the log of the operator's records. Invariant: within
+//! one incarnation of a process that position never decreases, so a stale read or a partitioned
+//! entry can neither restore an ended evacuation nor drop a newer one.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,54 +15,53 @@
 
 use crate::ids::{HallName, Now};
 
-/// Place in the log of the operator's records: how many of them are known.
+/// Position in the log of the operator's records: the number of known records.
 pub type StorePosition = u64;
 
-/// The evacuated halls as of a place in the log.
+/// The evacuated halls as of a position in the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuatedHalls {
-    /// All records before this place are taken into account.
+    /// Position up to which all records are included.
     #[serde(rename = "p")]
     pub place: StorePosition,
-    /// The halls.
+    /// Names of the evacuated halls.
     #[serde(rename = "h")]
     pub halls: BTreeSet<HallName>,
 }
 
 impl EvacuatedHalls {
-    /// Whether a hall's targets may get no new work.
+    /// Whether a hall is evacuated.
     pub fn contains(&self, hall: &str) -> bool {
         self.halls.contains(hall)
     }
 
-    /// The halls, for a line of the log.
+    /// Names of the halls, separated by commas, for log lines.
     pub fn names(&self) -> String {
         let names: Vec<&str> = self.halls.iter().map(|h| &**h).collect();
         names.join(",")
     }
 }
 
-/// What a read of the operator's records says of evacuations.
+/// Evacuation records from one read of the operator's log.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EvacuationRecords {
-    /// Whether these are the newest records of all keys, and not just those that came since the
-    /// read before.
+    /// Whether these are the newest records of all keys, not only those since the previous read.
     pub is_whole: bool,
-    /// Halls in the order of their records, each with whether it is evacuated.
+    /// Halls in the order of their records, and whether each is evacuated.
     pub halls: Vec<(HallName, bool)>,
-    /// Place in the log after the last record.
+    /// Position in the log after the last record.
     pub place: StorePosition,
 }
 
-/// Adds reads of the operator's records up to a state.
+/// Builds the current state from successive reads of the operator's records.
 #[derive(Debug, Default)]
 pub struct EvacuationReader {
     halls: BTreeSet<HallName>,
 }
 
 impl EvacuationReader {
-    /// Takes in a read. Reads follow one another: each begins where the one before ended, or is
-    /// whole.
+    /// Applies a read and returns the new state. Each read must begin where the previous one ended,
+    /// or be whole.
     pub fn read(&mut self, records: EvacuationRecords) -> EvacuatedHalls {
         if records.is_whole {
             self.halls.clear();
@@ -82,25 +80,25 @@
     }
 }
 
-/// What an offered state comes to.
+/// Result of [`EvacuationsInForce::offer`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Offered {
-    /// It is no newer than what is known.
+    /// The state is not newer than the one in force.
     Old,
-    /// It is newer and says the same.
+    /// The state is newer and holds the same halls.
     Confirmed,
-    /// It is in force from now on.
+    /// The state is newer, with other halls, and is in force now.
     Changed,
 }
 
-/// The evacuations that a process obeys. They never go back in one life.
+/// The evacuations that a process applies. They never revert to an older state.
 #[derive(Debug, Default)]
 pub struct EvacuationsInForce {
     state: Arc<EvacuatedHalls>,
 }
 
 impl EvacuationsInForce {
-    /// Takes a state in force if it is newer.
+    /// Applies a state if it is newer than the one in force.
     pub fn offer(&mut self, state: &Arc<EvacuatedHalls>) -> Offered {
         if state.place <= self.state.place {
             return Offered::Old;
@@ -114,46 +112,52 @@
         }
     }
 
-    /// The state.
+    /// Returns the state in force.
     pub fn state(&self) -> &Arc<EvacuatedHalls> {
         &self.state
     }
 
-    /// Whether a hall's targets may get no new work.
+    /// Whether a hall is evacuated.
     pub fn contains(&self, hall: &str) -> bool {
         self.state.contains(hall)
     }
 }
 
-/// Share of the bound after which an agent asks the store itself: two tries fit into the rest.
-const ASK_SHARE: f64 = 0.3;
-/// Share of the bound after which it asks in any case.
-const MOST_ASK_SHARE: f64 = 0.6;
-/// An entry hears of the store once a second when nothing happens; sooner than this, agents would
-/// ask for nothing.
-const USUAL_ASK: Duration = Duration::from_millis(1_500);
-/// Shortest time between two questions, whatever the bound.
-const LEAST_ASK: Duration = Duration::from_millis(200);
-
-/// When an agent asks the store for evacuations itself.
+/// Fraction of the bound after which an agent usually queries the store; leaves time for retries.
+const USUAL_QUERY_FRACTION: f64 = 0.3;
+/// Largest fraction of the bound after which an agent queries the store.
+const MAX_QUERY_FRACTION: f64 = 0.6;
+/// Usual minimum between queries. An idle entry hears from the store every second, so agents that
+/// query more often would learn nothing new.
+const USUAL_QUERY_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Minimum between queries, regardless of the bound.
+const MIN_QUERY_INTERVAL: Duration = Duration::from_millis(200);
+
+/// Decides when an agent queries the store for evacuations itself.
 ///
-/// It hears of them from its entries, which wait for news at the store. If none of them has heard
-/// from the store for a while, they may be cut off from it while the agent is not: then it would
-/// go on starting what they order in a hall that was emptied long ago.
+/// Agents normally learn of evacuations from their entries, which wait for news at the store. If no
+/// entry has heard from the store for a while, the entries may be partitioned from it. Without its
+/// own query the agent would then keep starting their tasks in an evacuated hall.
 #[derive(Debug)]
 pub struct EvacuationWatch {
-    /// How long nothing need be heard of the store; never too long without a bound to keep.
+    /// Longest age of the known state before a query; none if there is no bound.
     ask_after: Option<Duration>,
+    /// Latest time at which the state in force was current at the store.
     known_at: Now,
     asked_at: Option<Now>,
 }
 
 impl EvacuationWatch {
-    /// A watch that keeps evacuations within this bound after they were ordered.
+    /// Creates a watch. `bound` is the longest time from an evacuation's record until it is
+    /// applied.
     pub fn new(now: Now, bound: Option<Duration>) -> Self {
         let ask_after = bound.map(|bound| {
-            let usual = bound.mul_f64(ASK_SHARE).max(USUAL_ASK);
-            usual.min(bound.mul_f64(MOST_ASK_SHARE)).max(LEAST_ASK)
+            let usual = bound
+                .mul_f64(USUAL_QUERY_FRACTION)
+                .max(USUAL_QUERY_INTERVAL);
+            usual
+                .min(bound.mul_f64(MAX_QUERY_FRACTION))
+                .max(MIN_QUERY_INTERVAL)
         });
         Self {
             ask_after,
@@ -162,19 +166,19 @@
         }
     }
 
-    /// Notes that what is in force here was true at the store at a time.
+    /// Records that the state in force here was current at the store at this time.
     pub fn known(&mut self, at: Now) {
         self.known_at = self.known_at.max(at);
     }
 
-    /// When the store is to be asked, if nothing is heard of it before.
+    /// When to query the store, unless there is news from it before then.
     pub fn ask_at(&self) -> Option<Now> {
         let after = self.ask_after?;
         let again = self.asked_at.map_or(Now::ZERO, |at| at + after);
         Some(again.max(self.known_at + after))
     }
 
-    /// Whether the store is to be asked now; notes that it is.
+    /// Whether to query the store now; if so, records the query.
     pub fn take_due(&mut self, now: Now) -> bool {
         let is_due = self.ask_at().is_some_and(|at| at <= now);
         if is_due {
--- a/lib/src/ids.rs
+++ b/lib/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names of things: aliases for plain ids, and the job id that callers see.
+//! Identifiers and names: type aliases, and the job id that callers see.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,17 +8,17 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt as _, Snafu};
 
-/// One life of one process. Drawn at random at start, never used again.
+/// Identifies one incarnation of a process. Chosen at random at start, never reused.
 pub type Incarnation = u64;
-/// One connection between two processes, numbered by the side that reports it.
+/// Identifies a connection between two processes; each side assigns its own number.
 pub type SessionId = u64;
-/// Number of a dispatch from one entry incarnation to one agent incarnation.
+/// Sequence number of a dispatch from one entry incarnation to one agent incarnation.
 pub type DispatchSeq = u64;
-/// Position of a task in its job.
+/// Index of a task in its job.
 pub type TaskIndex = u16;
 /// Number of a job within one entry incarnation.
 pub type JobSeq = u64;
-/// A caller's request, numbered by the driver that must answer it.
+/// Identifies a caller's request; assigned by the driver that answers it.
 pub type RequestId = u64;
 /// Name of a team, as written in the configuration.
 pub type TeamName = Arc<str>;
@@ -26,15 +26,15 @@
 pub type NodeName = Arc<str>;
 /// Name of a data hall.
 pub type HallName = Arc<str>;
-/// Monotonic time of one process, counted from an origin of its own.
+/// Monotonic time since an arbitrary origin; comparable only within one process.
 pub type Now = Duration;
 
-/// Identifies a job in the whole fleet: the entry's life that holds it, and a number.
+/// Identifies a job across the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct JobId {
-    /// Life of the entry that admitted the job.
+    /// Incarnation of the entry that admitted the job.
     pub entry: Incarnation,
-    /// Number of the job in that life.
+    /// Number of the job within that incarnation.
     pub seq: JobSeq,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// A text that is not a job id.
+/// The text is not a job id.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(display("`{text}` is not a job id: expected 16 hexadecimal digits, `-`, a number"))]
 pub struct ParseJobIdError {
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,26 +1,31 @@
 //! trestleknot: a dispatcher for sub-second tasks.
 //!
-//! Callers submit jobs to an *entry*; entries place the tasks of a job on *targets* through the
-//! *agent* beside each. The modules come in layers, each using only those before it:
+//! Callers submit jobs to an *entry*. Entries place the tasks of a job on *targets* through the
+//! *agent* beside each target. The modules form layers, and each layer uses only those before it:
 //!
-//! - words: [`ids`], [`job`], [`message`], [`vm_list`], [`status`], [`events`], [`counters`];
-//! - parts of the decisions: [`ledger`], [`slot_table`], [`target_table`], [`job_table`],
+//! - shared types: [`ids`], [`job`], [`message`], [`vm_list`], [`status`], [`events`],
+//!   [`counters`];
+//! - state and policies: [`ledger`], [`slot_table`], [`target_table`], [`job_table`],
 //!   [`placement`], [`admission`], [`run_time`], [`quota`], [`health`], [`permit`],
 //!   [`config_document`], [`config_chain`], [`job_history`], [`frame_order`], [`outbox`];
-//! - the cores, deterministic state machines: [`entry`] (with the `entry_*` modules) and
+//! - cores, which are deterministic state machines: [`entry`] (with the `entry_*` modules) and
 //!   [`agent`] (with `agent_*`).
 //!
-//! Batches on the users' platform have layers of their own, which docs/design/platform.md explains:
+//! Batches on the users' platform have their own layers, which docs/design/platform.md explains:
 //!
-//! - words: [`clock`], [`resources`], [`run`], [`queue`], [`batch`], [`payload`], [`run_message`];
-//! - state: [`adaptive_timeout`], [`payload_cache`], [`entry_discovery`], [`run_table`], [`target_lease`], [`capacity_shares`], [`wait_forecast`], [`entry_leases`],
-//!   [`preferred_entries`], [`evacuations`], [`link_load`], [`crash_history`], [`batch_table`], [`target_registry`], [`peer_table`], [`peer_closings`], [`config_fetch`], [`deferred_batches`],
-//!   [`entry_directory`], [`entry_drain`];
-//! - the cores: [`batch_entry`] and [`run_agent`], with what they are told and want done in
-//!   [`batch_event`] and [`run_event`], and the choice of targets in [`batch_placing`];
-//! - what runs them: [`platform_ports`], [`node_links`], [`core_timer`], [`entry_node`],
+//! - shared types: [`clock`], [`resources`], [`run`], [`queue`], [`batch`], [`payload`],
+//!   [`run_message`];
+//! - state: [`adaptive_timeout`], [`payload_cache`], [`entry_discovery`], [`run_table`],
+//!   [`target_lease`], [`capacity_shares`], [`wait_forecast`], [`entry_leases`],
+//!   [`preferred_entries`], [`evacuations`], [`link_load`], [`crash_history`], [`batch_table`],
+//!   [`target_registry`], [`peer_table`], [`peer_closings`], [`config_fetch`],
+//!   [`deferred_batches`], [`entry_directory`], [`entry_drain`];
+//! - cores: [`batch_entry`] and [`run_agent`], with their events and actions in [`batch_event`] and
+//!   [`run_event`], and the choice of targets in [`batch_placing`];
+//! - runtime: [`platform_ports`], [`node_links`], [`core_timer`], [`entry_node`],
 //!   [`agent_node`], [`log_writer`], [`node_metrics`].
 
+pub mod active_batch;
 pub mod adaptive_timeout;
 pub mod admission;
 pub mod agent;
@@ -29,17 +34,14 @@
 mod agent_runs;
 mod agent_sessions;
 pub mod apply;
+pub mod backlog_monitor;
 pub mod batch;
 pub mod batch_entry;
 pub mod batch_event;
 pub mod batch_placing;
 pub mod batch_table;
-pub mod clock;
-pub mod peer_closings;
-
-pub mod active_batch;
-pub mod backlog_monitor;
 pub mod capacity_shares;
+pub mod clock;
 pub mod codec;
 pub mod config_chain;
 pub mod config_document;
@@ -90,6 +92,7 @@
 pub mod outbox;
 pub mod payload;
 pub mod payload_cache;
+pub mod peer_closings;
 pub mod peer_table;
 pub mod permit;
 pub mod placement;
--- a/lib/src/link_auth.rs
+++ b/lib/src/link_auth.rs
@@ -1,8 +1,8 @@
-//! Proof of the fleet secret on a new connection, both ways, before any frame.
+//! Mutual authentication of a new connection with the fleet secret, before any frame.
 //!
-//! The accepting side sends a nonce, the dialling side answers with a keyed hash of it and a
-//! nonce of its own, and gets a keyed hash back. Nobody learns the secret from listening; the
-//! link itself is not encrypted (docs/PROTOCOL.md says what that leaves open).
+//! The accepting side sends a nonce. The dialling side answers with a keyed hash of it and its own
+//! nonce, and receives a keyed hash of that. The handshake does not reveal the secret to listeners,
+//! but the link is not encrypted; docs/PROTOCOL.md lists the remaining risks.
 
 use futures_util::{Sink, SinkExt as _, Stream, StreamExt as _};
 use rand::Rng as _;
@@ -16,25 +16,25 @@
 const DIAL_PURPOSE: &str = "dial";
 const ACCEPT_PURPOSE: &str = "accept";
 
-/// Why a connection was not accepted.
+/// Why the authentication of a connection failed.
 #[derive(Debug, Snafu)]
 pub enum AuthError {
-    /// The connection broke.
-    #[snafu(display("connection broke during the handshake: {source}"))]
+    /// The connection failed.
+    #[snafu(display("connection failed during the handshake: {source}"))]
     Broken {
-        /// Cause.
+        /// Error of the WebSocket.
         #[snafu(source(from(WsError, Box::new)))]
         source: Box<WsError>,
     },
-    /// The connection ended.
-    #[snafu(display("connection ended during the handshake"))]
+    /// The other side closed the connection.
+    #[snafu(display("connection closed during the handshake"))]
     Ended,
-    /// The other side does not know the secret.
-    #[snafu(display("the other side does not hold the fleet secret"))]
+    /// The other side did not prove that it knows the secret.
+    #[snafu(display("the other side does not know the fleet secret"))]
     Stranger,
 }
 
-/// What the handshake needs of a WebSocket.
+/// The operations on a WebSocket that the handshake needs.
 pub trait Socket:
     Sink<Message, Error = WsError> + Stream<Item = Result<Message, WsError>> + Unpin
 {
@@ -49,7 +49,7 @@
     rand::rng().random()
 }
 
-/// The accepting side: true peers get through.
+/// Authenticates the other side of an accepted connection, and this side to it.
 pub async fn accept(socket: &mut impl Socket, secret: &FleetSecret) -> Result<(), AuthError> {
     let ours = nonce();
     send(socket, ours.to_vec()).await?;
@@ -60,7 +60,7 @@
     send(socket, secret.seal(ACCEPT_PURPOSE, theirs).to_vec()).await
 }
 
-/// The dialling side.
+/// Authenticates this side of a dialled connection, and the other side to it.
 pub async fn dial(socket: &mut impl Socket, secret: &FleetSecret) -> Result<(), AuthError> {
     let theirs = receive(socket).await?;
     let ours = nonce();
--- a/lib/src/session_links.rs
+++ b/lib/src/session_links.rs
@@ -1,8 +1,8 @@
-//! The thread that holds the WebSocket sessions of one process.
+//! The thread that runs the WebSocket sessions of one process.
 //!
-//! It accepts and dials, proves the fleet secret, exchanges hellos where a side needs one, and
-//! from then on carries frames between the core's rings and the sessions. A malformed frame, an
-//! overlong one or too many a second close that session and nothing else.
+//! It accepts and dials connections, authenticates them with the fleet secret, exchanges the first
+//! messages and relays frames between the core's rings and the sessions. A malformed or oversized
+//! frame, or too many frames a second, close only the session concerned.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -27,7 +27,7 @@
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
 
 use crate::clock::BootInstant;
-use crate::codec::{self, MOST_FRAME_BYTES};
+use crate::codec::{self, MAX_FRAME_BYTES};
 use crate::events::{EventCode, LogEvent};
 use crate::ids::SessionId;
 use crate::link_auth;
@@ -35,91 +35,92 @@
 use crate::permit::FleetSecret;
 use crate::ring::{RingRx, RingTx, TaskWaker};
 
-/// Frames that may wait to be written on one session; beyond it the session is closed.
-const MOST_UNSENT: usize = 4_096;
-/// Frames a second that one session may send us.
-const MOST_FRAMES_PER_SECOND: u32 = 50_000;
-/// How long a connection and its handshake may take.
-const HANDSHAKE_LIMIT: Duration = Duration::from_secs(2);
-/// First pause before dialling again.
+/// Frames that may be queued for sending on one session; the session is closed beyond that.
+const MAX_UNSENT_FRAMES: usize = 4_096;
+/// Frames a second that are accepted from one session.
+const MAX_FRAMES_PER_SECOND: u32 = 50_000;
+/// Time limit for a connection and its handshake.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Initial backoff between dials.
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
-/// Longest pause before dialling again.
-const MOST_BACKOFF: Duration = Duration::from_secs(2);
-/// Longest pause once an address has not answered for [`LONG_GONE`]: it may never again.
-const GONE_BACKOFF: Duration = Duration::from_secs(30);
-/// See [`GONE_BACKOFF`].
-const LONG_GONE: Duration = Duration::from_secs(60);
-/// Pause when a ring is full.
+/// Longest backoff between dials.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// Longest backoff once an address has been unreachable for [`UNREACHABLE_AFTER`].
+const UNREACHABLE_BACKOFF: Duration = Duration::from_secs(30);
+/// Time after which an address that does not answer gets [`UNREACHABLE_BACKOFF`].
+const UNREACHABLE_AFTER: Duration = Duration::from_secs(60);
+/// Pause before another push to a full ring.
 const RING_PAUSE: Duration = Duration::from_micros(200);
 
-/// What the core wants of its links.
+/// A command from the core to its links.
 #[derive(Debug)]
 pub enum LinkCommand<M> {
     /// Send a frame.
     Send {
-        /// The session.
+        /// Session to send it on.
         session: SessionId,
-        /// The frame.
+        /// Frame to send.
         frame: Frame<M>,
     },
     /// Close a session.
     Close(SessionId),
-    /// Keep a connection to this address from now on.
+    /// Connect to this address, and reconnect whenever the connection ends.
     Dial(String),
 }
 
-/// What links tell the core.
+/// An event that links report to the core.
 #[derive(Debug)]
 pub enum LinkEvent<M> {
-    /// A session stands. Where the other side speaks first, this is its first message.
+    /// A session was opened.
     Opened {
-        /// The session.
+        /// The new session.
         session: SessionId,
-        /// First message of the other side, if one was awaited.
+        /// First message of the other side, if [`HandshakeConfig::await_first`] is set.
         first: Option<M>,
     },
-    /// A frame has come.
+    /// A frame was received.
     Frame {
-        /// The session.
+        /// Session that it was received on.
         session: SessionId,
-        /// The frame.
+        /// The received frame.
         frame: Frame<M>,
     },
-    /// A session is gone.
+    /// A session was closed.
     Closed(SessionId),
 }
 
-/// Bytes and frames that have passed, for the metrics.
+/// Counters of bytes and frames, for the metrics.
 #[derive(Debug, Default)]
 pub struct LinkTraffic {
     /// Frames sent.
     pub frames_sent: AtomicU64,
-    /// Bytes sent, WebSocket framing left out.
+    /// Bytes sent, without WebSocket framing.
     pub bytes_sent: AtomicU64,
     /// Frames received.
     pub frames_received: AtomicU64,
-    /// Bytes received, WebSocket framing left out.
+    /// Bytes received, without WebSocket framing.
     pub bytes_received: AtomicU64,
 }
 
-/// How the hellos go on this kind of link.
+/// First messages and path of one kind of link.
 pub struct HandshakeConfig<Out> {
-    /// Sent by us as the first frame of every session.
+    /// Message that this side sends in the first frame of every session.
     pub our_first: Option<Out>,
-    /// Whether the core is told of a session only with the other side's first message.
+    /// Whether a session opens only with the other side's first message.
     pub await_first: bool,
-    /// Path of the WebSocket on the accepting side.
+    /// URL path of the WebSocket on the accepting side.
     pub path: &'static str,
 }
 
-/// The sessions of one kind: `Out` goes out, `In` comes in, `Item` is what the core's ring takes.
+/// The sessions of one kind of link: sends `Out`, receives `In` and pushes `Item` to the core's
+/// ring.
 pub struct SessionLinks<Out, In, Item> {
     secret: FleetSecret,
     handshake: HandshakeConfig<Out>,
     events: RefCell<RingTx<Item>>,
     wrap: fn(LinkEvent<In>) -> Item,
     sessions: RefCell<HashMap<SessionId, SessionHandle>>,
-    dialled: RefCell<HashSet<String>>,
+    dialled_addresses: RefCell<HashSet<String>>,
     next_session: Cell<SessionId>,
     stop: watch::Sender<bool>,
     traffic: Arc<LinkTraffic>,
@@ -129,8 +130,8 @@
     frames: mpsc::Sender<Vec<u8>>,
 }
 
-/// Told that a ring was full for long; the process can't go on in order.
-fn complain_of_ring() {
+/// Logs that the core's ring is full, so that events have to wait.
+fn log_full_ring() {
     LogEvent::new(EventCode::RingFull, "links to core").emit();
 }
 
@@ -140,7 +141,7 @@
     In: DeserializeOwned + 'static,
     Item: 'static,
 {
-    /// Links that tell their core through `events`, each event wrapped as the ring takes it.
+    /// Creates links that report to the core through `events`; `wrap` makes each event a ring item.
     pub fn new(
         secret: FleetSecret,
         handshake: HandshakeConfig<Out>,
@@ -155,18 +156,19 @@
             events: RefCell::new(events),
             wrap,
             sessions: RefCell::default(),
-            dialled: RefCell::default(),
+            dialled_addresses: RefCell::default(),
             next_session: Cell::new(1),
             stop,
             traffic,
         })
     }
 
-    /// Serves commands until the core is gone. Sessions then end with what was queued sent.
+    /// Executes commands until the core has ended. Sessions then send their queued frames and
+    /// close.
     pub async fn serve(self: Rc<Self>, mut commands: RingRx<LinkCommand<Out>>, waker: TaskWaker) {
         loop {
             while let Some(command) = commands.pop() {
-                self.obey(command);
+                self.execute(command);
             }
             if commands.is_finished() {
                 break;
@@ -177,16 +179,16 @@
         self.stop.send_replace(true);
     }
 
-    fn obey(self: &Rc<Self>, command: LinkCommand<Out>) {
+    fn execute(self: &Rc<Self>, command: LinkCommand<Out>) {
         match command {
             LinkCommand::Send { session, frame } => self.send(session, &frame),
             LinkCommand::Close(session) => {
                 self.sessions.borrow_mut().remove(&session);
             }
             LinkCommand::Dial(address) => {
-                if self.dialled.borrow_mut().insert(address.clone()) {
+                if self.dialled_addresses.borrow_mut().insert(address.clone()) {
                     let links = self.clone();
-                    tokio::task::spawn_local(links.keep_dialled(address));
+                    tokio::task::spawn_local(links.keep_connected(address));
                 }
             }
         }
@@ -198,35 +200,35 @@
         let Some(handle) = sessions.get(&session) else {
             return;
         };
-        // A peer that does not read is closed rather than waited for.
+        // If the peer does not read, close its session rather than wait.
         if handle.frames.try_send(bytes).is_err() {
             sessions.remove(&session);
         }
     }
 
-    /// Keeps one connection to an address, with jittered back-off between tries.
-    async fn keep_dialled(self: Rc<Self>, address: String) {
+    /// Keeps one connection to an address, with jittered backoff between attempts.
+    async fn keep_connected(self: Rc<Self>, address: String) {
         let mut backoff = FIRST_BACKOFF;
-        let mut reached = BootInstant::now();
+        let mut last_connected = BootInstant::now();
         let mut stop = self.stop.subscribe();
         while !*stop.borrow() {
-            let dialled = tokio::time::timeout(HANDSHAKE_LIMIT, self.dial_once(&address)).await;
+            let dialled = tokio::time::timeout(HANDSHAKE_TIMEOUT, self.dial_once(&address)).await;
             if let Ok(Some(socket)) = dialled {
                 backoff = FIRST_BACKOFF;
                 self.clone().run_session(socket).await;
-                reached = BootInstant::now();
+                last_connected = BootInstant::now();
             }
             let pause = backoff.mul_f64(rand::rng().random_range(0.5..1.5));
             tokio::select! {
                 () = tokio::time::sleep(pause) => {}
                 _ = stop.changed() => return,
             }
-            let most = if reached.elapsed() < LONG_GONE {
-                MOST_BACKOFF
+            let max_backoff = if last_connected.elapsed() < UNREACHABLE_AFTER {
+                MAX_BACKOFF
             } else {
-                GONE_BACKOFF
+                UNREACHABLE_BACKOFF
             };
-            backoff = (backoff * 2).min(most);
+            backoff = (backoff * 2).min(max_backoff);
         }
     }
 
@@ -246,7 +248,7 @@
         }
     }
 
-    /// Carries frames until either side ends the session.
+    /// Relays frames until either side ends the session.
     async fn run_session(self: Rc<Self>, mut socket: WebSocketStream<TcpStream>) {
         let session = self.next_session.get();
         self.next_session.set(session + 1);
@@ -262,37 +264,42 @@
         }
         let first = match self.await_first(&mut socket).await {
             Ok(first) => first,
-            Err(NoHello) => return,
+            Err(MissingFirstMessage) => return,
         };
-        let (frames, unsent) = mpsc::channel(MOST_UNSENT);
+        let (frames, unsent) = mpsc::channel(MAX_UNSENT_FRAMES);
         self.sessions
             .borrow_mut()
             .insert(session, SessionHandle { frames });
-        self.tell(LinkEvent::Opened { session, first }).await;
-        self.carry(session, socket, unsent).await;
+        self.push_event(LinkEvent::Opened { session, first }).await;
+        self.relay_frames(session, socket, unsent).await;
         self.sessions.borrow_mut().remove(&session);
-        self.tell(LinkEvent::Closed(session)).await;
+        self.push_event(LinkEvent::Closed(session)).await;
     }
 
     async fn await_first(
         &self,
         socket: &mut WebSocketStream<TcpStream>,
-    ) -> Result<Option<In>, NoHello> {
+    ) -> Result<Option<In>, MissingFirstMessage> {
         if !self.handshake.await_first {
             return Ok(None);
         }
-        let received = tokio::time::timeout(HANDSHAKE_LIMIT, socket.next()).await;
+        let received = tokio::time::timeout(HANDSHAKE_TIMEOUT, socket.next()).await;
         let Ok(Some(Ok(Message::Binary(bytes)))) = received else {
-            return Err(NoHello);
+            return Err(MissingFirstMessage);
         };
-        let frame: Frame<In> = codec::decode(&bytes).map_err(|_| NoHello)?;
+        let frame: Frame<In> = codec::decode(&bytes).map_err(|_| MissingFirstMessage)?;
         if frame.n != 1 {
-            return Err(NoHello);
+            return Err(MissingFirstMessage);
         }
-        frame.messages.into_iter().next().map(Some).ok_or(NoHello)
+        frame
+            .messages
+            .into_iter()
+            .next()
+            .map(Some)
+            .ok_or(MissingFirstMessage)
     }
 
-    async fn carry(
+    async fn relay_frames(
         &self,
         session: SessionId,
         socket: WebSocketStream<TcpStream>,
@@ -310,18 +317,18 @@
             sink.close().await
         };
         let read = async {
-            let mut pace = Pace::new();
+            let mut rate_limit = RateLimit::new();
             while let Some(Ok(message)) = stream.next().await {
                 let Message::Binary(bytes) = message else {
                     continue;
                 };
                 self.count_received(bytes.len());
                 let frame = match codec::decode(&bytes) {
-                    Ok(frame) if pace.allows() => frame,
-                    Ok(_) => return malformed(session, "too many frames a second"),
-                    Err(e) => return malformed(session, &e.to_string()),
+                    Ok(frame) if rate_limit.allows() => frame,
+                    Ok(_) => return log_malformed_frame(session, "too many frames per second"),
+                    Err(e) => return log_malformed_frame(session, &e.to_string()),
                 };
-                self.tell(LinkEvent::Frame { session, frame }).await;
+                self.push_event(LinkEvent::Frame { session, frame }).await;
             }
         };
         tokio::select! {
@@ -330,20 +337,21 @@
         }
     }
 
-    /// Tells the core, waiting while its ring is full: that is back-pressure on the session.
-    async fn tell(&self, event: LinkEvent<In>) {
+    /// Pushes an event to the core's ring. Waits while the ring is full, which puts back-pressure
+    /// on the session.
+    async fn push_event(&self, event: LinkEvent<In>) {
         let mut event = (self.wrap)(event);
-        let mut waited = false;
+        let mut has_waited = false;
         loop {
-            let pushed = self.events.borrow_mut().push(event);
-            match pushed {
+            let result = self.events.borrow_mut().push(event);
+            match result {
                 Ok(()) => return,
                 Err(_) if self.events.borrow().is_abandoned() => return,
-                Err(back) => event = back,
+                Err(returned) => event = returned,
             }
-            if !waited {
-                complain_of_ring();
-                waited = true;
+            if !has_waited {
+                log_full_ring();
+                has_waited = true;
             }
             tokio::time::sleep(RING_PAUSE).await;
         }
@@ -364,12 +372,12 @@
     }
 }
 
-/// Takes over a connection that has been accepted and has proved the secret.
+/// Runs sessions on accepted and authenticated connections.
 pub trait Adopt {
-    /// Path of the WebSocket that leads here.
+    /// URL path of the WebSockets that are handled here.
     fn path(&self) -> &'static str;
 
-    /// Runs the session to its end.
+    /// Runs a session on this connection until it ends.
     fn adopt(self: Rc<Self>, socket: WebSocketStream<TcpStream>) -> LocalBoxFuture<'static, ()>;
 }
 
@@ -388,13 +396,13 @@
     }
 }
 
-/// Accepts connections and hands each to the links that its path names. Never returns.
+/// Accepts connections and passes each to the links that serve its path. Never returns.
 pub async fn accept_all(listener: TcpListener, secret: FleetSecret, links: Vec<Rc<dyn Adopt>>) {
     let links = Rc::new(links);
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let accepted = accept_one(stream, secret.clone(), links.clone());
+                let accepted = accept_connection(stream, secret.clone(), links.clone());
                 tokio::task::spawn_local(accepted);
             }
             Err(_) => tokio::time::sleep(FIRST_BACKOFF).await,
@@ -402,8 +410,8 @@
     }
 }
 
-async fn accept_one(stream: TcpStream, secret: FleetSecret, links: Rc<Vec<Rc<dyn Adopt>>>) {
-    let handshake = tokio::time::timeout(HANDSHAKE_LIMIT, handshake(stream, &secret));
+async fn accept_connection(stream: TcpStream, secret: FleetSecret, links: Rc<Vec<Rc<dyn Adopt>>>) {
+    let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake(stream, &secret));
     let Ok(Some(accepted)) = handshake.await else {
         return;
     };
@@ -421,9 +429,10 @@
 async fn handshake(stream: TcpStream, secret: &FleetSecret) -> Option<Accepted> {
     let _ = stream.set_nodelay(true);
     let mut path = String::new();
-    let note_path = NotePath(&mut path);
+    let record_path = RecordPath(&mut path);
     let config = Some(socket_config());
-    let accepted = tokio_tungstenite::accept_hdr_async_with_config(stream, note_path, config).await;
+    let accepted =
+        tokio_tungstenite::accept_hdr_async_with_config(stream, record_path, config).await;
     let mut socket = accepted.ok()?;
     match link_auth::accept(&mut socket, secret).await {
         Ok(()) => Some(Accepted { path, socket }),
@@ -434,19 +443,20 @@
     }
 }
 
-/// Remembers the path that a connection asks for.
-struct NotePath<'a>(&'a mut String);
+/// Stores the path that a connection requests.
+struct RecordPath<'a>(&'a mut String);
 
-impl Callback for NotePath<'_> {
+impl Callback for RecordPath<'_> {
     fn on_request(self, request: &Request, response: Response) -> Result<Response, ErrorResponse> {
         request.uri().path().clone_into(self.0);
         Ok(response)
     }
 }
 
-struct NoHello;
+/// The other side's first message is missing or malformed.
+struct MissingFirstMessage;
 
-fn malformed(session: SessionId, why: &str) {
+fn log_malformed_frame(session: SessionId, why: &str) {
     LogEvent::new(
         EventCode::MalformedFrame,
         format!("session {session}: {why}"),
@@ -454,22 +464,22 @@
     .emit();
 }
 
-/// Bounds of every WebSocket between our processes.
+/// Limits of all WebSockets between processes of the fleet.
 pub fn socket_config() -> WebSocketConfig {
     WebSocketConfig::default()
-        .max_message_size(Some(MOST_FRAME_BYTES))
-        .max_frame_size(Some(MOST_FRAME_BYTES))
+        .max_message_size(Some(MAX_FRAME_BYTES))
+        .max_frame_size(Some(MAX_FRAME_BYTES))
         .read_buffer_size(16 * 1024)
         .write_buffer_size(16 * 1024)
 }
 
-/// Counts frames by the second.
-struct Pace {
+/// Limits the frames received in one second.
+struct RateLimit {
     second: BootInstant,
     frames: u32,
 }
 
-impl Pace {
+impl RateLimit {
     fn new() -> Self {
         Self {
             second: BootInstant::now(),
@@ -482,11 +492,12 @@
             *self = Self::new();
         }
         self.frames += 1;
-        self.frames <= MOST_FRAMES_PER_SECOND
+        self.frames <= MAX_FRAMES_PER_SECOND
     }
 }
 
-/// Runs a future and all that it spawns on a single-threaded runtime of this thread.
+/// Runs a future and the tasks that it spawns on a single-threaded runtime. Fails if the runtime
+/// can't be built.
 pub fn run_local<F: Future>(future: F) -> std::io::Result<F::Output> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/lib/src/target_lease.rs
+++ b/lib/src/target_lease.rs
@@ -1,9 +1,7 @@
-//! The agent's hold on its target: fencing token, the target's clock, renewals and the list of
-//! ends.
+//! The agent's lease on its target: fencing token, the target's clock and renewals.
 //!
-//! One renewal extends the lease of everything that runs on the target, so it is sent for as long
-//! as anything does. Its answer lists what runs and what has ended, and is the only authority on
-//! both.
+//! One renewal extends the lease of all runs on the target. Its answer lists the current runs and
+//! the ended ones, and is the only authority on both.
 
 use std::time::Duration;
 
@@ -13,58 +11,55 @@
 use crate::target_incarnation::BornMillis;
 use crate::timings::Timings;
 
-/// Number of an end in one life of a target.
+/// Sequence number of a run's end within one incarnation of a target.
 pub type EndNumber = u64;
 /// Milliseconds on a target's clock.
 pub type TargetMillis = u64;
 
-/// Added to a token that the target refuses as too low, in milliseconds of the time of day from
-/// which tokens are made: more than any clock is expected to have been ahead.
+/// Added to a token that the target refuses as too low. Tokens are derived from the time of day in
+/// milliseconds; the step exceeds the expected difference between clocks.
 const TOKEN_STEP: FencingToken = 10_000;
-/// Shortest wait that is worth a call.
-const LEAST_WAIT: Duration = Duration::from_millis(20);
-/// How long an answer may take beyond the wait that was asked for, until its connection is given
-/// up.
+/// Shortest wait of a renewal for an end.
+const MIN_WAIT: Duration = Duration::from_millis(20);
+/// How long an answer may take beyond the requested wait before its connection is closed.
 const ANSWER_SLACK: Duration = Duration::from_millis(120);
-/// For so long after a lost answer renewals wait only [`LOSSY_WAIT`], so that the next loss is
-/// noticed sooner.
-const LOSSY_FOR: Duration = Duration::from_secs(2);
-/// See [`LOSSY_FOR`]. What ends meanwhile is heard of this much later: a third of the shortest
-/// usual task.
+/// Period after a lost answer in which renewals wait only [`LOSSY_WAIT`], to detect another loss
+/// sooner.
+const LOSSY_PERIOD: Duration = Duration::from_secs(2);
+/// Longest wait of a renewal during [`LOSSY_PERIOD`].
 const LOSSY_WAIT: Duration = Duration::from_millis(20);
-/// Pause before a renewal that failed is tried again, for each failure in a row after the first.
+/// Pause before a failed renewal is retried; grows with the number of consecutive failures.
 const RETRY_PAUSE: Duration = Duration::from_millis(30);
-/// Failures in a row beyond which the pause grows no more: a target that returns is found in time.
-const MOST_PAUSES: u32 = 7;
-/// Unanswered renewals in a row after which the target may count as silent.
-const SILENT_AFTER: u32 = 2;
-/// The target counts as silent only if it has not answered for so long: two calls that are given
-/// up.
-const SILENT_FOR: Duration = Duration::from_millis(240);
+/// Limit of the factor of [`RETRY_PAUSE`], so that a target that returns is found in time.
+const MAX_PAUSES: u32 = 7;
+/// Consecutive unanswered renewals before the target may count as silent.
+const MIN_SILENT_CALLS: u32 = 2;
+/// Time without an answer before the target may count as silent: two calls that time out.
+const MIN_SILENCE: Duration = Duration::from_millis(240);
 
 /// A renewal to be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Renewal {
-    /// Its number, to match the answer.
+    /// Number that matches an answer to its renewal.
     pub number: u64,
-    /// Its token.
+    /// Fencing token that it is sent with.
     pub token: FencingToken,
-    /// New end of the lease on the target's clock; none to look only.
+    /// New end of the lease on the target's clock; none for a query, which renews nothing.
     pub until: Option<TargetMillis>,
-    /// Ends up to this one are known, and were listed just now; otherwise zero.
+    /// Acknowledges the ends up to this number; zero unless they were listed just now.
     pub last_seen: EndNumber,
     /// How long the target may wait for an end before it answers.
     pub wait: Duration,
-    /// When the answer counts as lost.
+    /// How long until the answer counts as lost.
     pub limit: Duration,
 }
 
 /// A run that the target listed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListedRun {
-    /// The run.
+    /// Key of the run.
     pub key: RunKey,
-    /// How much of it is done, in percent.
+    /// Progress of the run in percent.
     pub percent: u32,
 }
 
@@ -77,54 +72,55 @@
     wait: Duration,
 }
 
-/// What an answered renewal was.
+/// A renewal that was answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answered {
     /// When it was sent.
     pub sent_at: Now,
-    /// Its token.
+    /// Fencing token that it was sent with.
     pub token: FencingToken,
 }
 
-/// See the module.
+/// The agent's side of its target's lease: which renewals are due, and when all runs have lapsed.
 #[derive(Debug)]
 pub struct TargetLease {
-    /// Lease that is asked for.
-    length: Duration,
-    /// From a renewal until what it held must be over.
+    /// Length of the lease that a renewal requests.
+    lease_length: Duration,
+    /// Time from a renewal until the runs that it covers must have ended.
     lapse: Duration,
     /// Longest wait of a renewal for an end.
-    most_wait: Duration,
+    max_wait: Duration,
     token: FencingToken,
+    /// Last known time on the target's clock, and when it was received.
     clock: Option<(TargetMillis, Now)>,
-    /// When the life whose lists were read last began.
+    /// When the incarnation whose lists were last read began.
     born: Option<BornMillis>,
     last_seen: EndNumber,
-    /// When the lists were read last.
+    /// When the lists were last read.
     listed_at: Option<Now>,
     in_flight: Option<InFlight>,
     next_number: u64,
-    /// First number of a renewal to the present life of the target.
+    /// First number of a renewal to the target's current incarnation.
     first_number: u64,
     retry_at: Option<Now>,
     lapses_at: Now,
     silent_calls: u32,
     /// When the target last answered.
-    heard: Now,
-    /// Whether [`SILENT_AFTER`] and [`SILENT_FOR`] are both passed.
+    last_answer_at: Now,
+    /// Whether both [`MIN_SILENT_CALLS`] and [`MIN_SILENCE`] were reached.
     is_silent: bool,
-    /// Whether it has refused a connection since it last answered.
+    /// Whether the target has refused a connection since it last answered.
     is_refused: bool,
     lossy_until: Now,
 }
 
 impl TargetLease {
-    /// A hold that has not been answered yet.
+    /// Creates a lease for a target that has not answered yet.
     pub fn new(now: Now, timings: &Timings, token: FencingToken) -> Self {
         let mut lease = Self {
-            length: timings.target_lease,
+            lease_length: timings.target_lease,
             lapse: timings.lapse,
-            most_wait: timings.renewal_wait,
+            max_wait: timings.renewal_wait,
             token,
             clock: None,
             born: None,
@@ -136,60 +132,60 @@
             retry_at: None,
             lapses_at: now,
             silent_calls: 0,
-            heard: now,
+            last_answer_at: now,
             is_silent: false,
             is_refused: false,
             lossy_until: Now::ZERO,
         };
-        // The agent's life before this one may have renewed just before it ended.
+        // An earlier incarnation of the agent may have renewed just before it ended.
         lease.note_renewed(now);
         lease
     }
 
-    /// The token for orders.
+    /// Returns the token for starts, stops and renewals.
     pub fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// Makes every order with the present token, that has not reached the target, void. Takes
+    /// Invalidates all calls with the current token that have not reached the target yet. Takes
     /// effect when the next renewal is answered.
     pub fn raise_token(&mut self) {
         self.token += 1;
     }
 
-    /// Steps over a token that the target has seen from an earlier life of the agent.
+    /// Raises the token above one that an earlier incarnation of the agent sent to the target.
     pub fn raise_token_past(&mut self, refused: FencingToken) {
         if refused >= self.token {
             self.token = refused + TOKEN_STEP;
         }
     }
 
-    /// Learns the target's clock from an answer.
+    /// Records the target's clock from an answer.
     pub fn learn_clock(&mut self, now: Now, clock: TargetMillis) {
         self.clock = Some((clock, now));
         self.note_answer(now);
     }
 
-    /// Whether lists are told by another life than those that were read last.
+    /// Whether lists come from another incarnation than those that were last read.
     pub fn is_other_incarnation(&self, born: Option<BornMillis>) -> bool {
         matches!((self.born, born), (Some(known), Some(told)) if known != told)
     }
 
-    /// Notes which life tells the lists that are read.
+    /// Records that the lists of this incarnation are read now.
     pub fn note_incarnation(&mut self, now: Now, born: Option<BornMillis>) {
         self.born = born.or(self.born);
         self.listed_at = Some(now);
     }
 
-    /// Notes that the target answers.
+    /// Records that the target answered.
     pub fn note_answer(&mut self, now: Now) {
         self.silent_calls = 0;
-        self.heard = now;
+        self.last_answer_at = now;
         self.is_silent = false;
         self.is_refused = false;
     }
 
-    /// Notes that a connection was refused: no process is there.
+    /// Records that a connection was refused, so that no process listens there.
     pub fn note_refused(&mut self) {
         self.is_refused = true;
     }
@@ -199,10 +195,11 @@
         self.is_refused
     }
 
-    /// End of a lease that begins now, on the target's clock, and notes that it was asked for.
+    /// Records a renewal now and returns the end of its lease on the target's clock, or none if
+    /// that clock is unknown.
     pub fn new_until(&mut self, now: Now) -> Option<TargetMillis> {
         let (clock, at) = self.clock?;
-        let elapsed = now.saturating_sub(at) + self.length;
+        let elapsed = now.saturating_sub(at) + self.lease_length;
         self.note_renewed(now);
         Some(clock + elapsed.as_millis() as u64)
     }
@@ -211,19 +208,20 @@
         self.lapses_at = self.lapses_at.max(now + self.lapse);
     }
 
-    /// When everything on the target has lapsed if no renewal is sent any more.
+    /// When all runs on the target have lapsed if no more renewals are sent.
     pub fn lapses_at(&self) -> Now {
         self.lapses_at
     }
 
-    /// Notes that the target's clock may have stood still for so long. It has to be learnt anew.
+    /// Records that the target's clock may have stopped for this long. The clock is unknown until
+    /// the next answer.
     pub fn suspended(&mut self, time: Duration) {
         self.lapses_at += time;
         self.clock = None;
     }
 
-    /// Whether the last call was not answered. Nothing new is started then, and no lease is
-    /// extended: what runs on a target that is lost is over the sooner.
+    /// Whether the last call was not answered. No run is started and no lease is extended then, so
+    /// that the runs of a lost target lapse sooner.
     pub fn has_unanswered_call(&self) -> bool {
         self.silent_calls > 0
     }
@@ -233,18 +231,18 @@
         self.is_silent
     }
 
-    /// Whether a renewal was sent to a life of the target that is over. Its answer tells the clock
-    /// and the ends of that life.
+    /// Whether a renewal was sent to an earlier incarnation of the target. Its answer may hold the
+    /// clock and the ends of that incarnation.
     pub fn is_of_past_incarnation(&self, number: u64) -> bool {
         number < self.first_number
     }
 
-    /// Number of the next renewal or look.
+    /// Number of the next renewal or query.
     pub fn next_number(&self) -> u64 {
         self.next_number
     }
 
-    /// A look at the lists that renews nothing and takes note of no end.
+    /// Returns a query of the lists, which renews nothing and acknowledges no end.
     pub fn look(&mut self) -> Renewal {
         let number = self.next_number;
         self.next_number += 1;
@@ -258,36 +256,36 @@
         }
     }
 
-    /// Notes that a renewal was not answered, unless that is known; the next one is due at once
-    /// or, if it is not the first, after a pause.
+    /// Records that the renewal in flight was not answered; ignores any other number. The next
+    /// renewal is due at once after the first such failure, and after a pause otherwise.
     pub fn unanswered(&mut self, now: Now, number: u64) {
         if self.in_flight.is_none_or(|f| f.number != number) {
             return;
         }
         self.silent_calls += 1;
-        self.is_silent |= self.silent_calls >= SILENT_AFTER && self.heard + SILENT_FOR <= now;
-        self.lossy_until = now + LOSSY_FOR;
+        self.is_silent |=
+            self.silent_calls >= MIN_SILENT_CALLS && self.last_answer_at + MIN_SILENCE <= now;
+        self.lossy_until = now + LOSSY_PERIOD;
         let pauses = self.silent_calls - 1;
-        self.pause(now, number, pauses.min(MOST_PAUSES));
+        self.pause(now, number, pauses.min(MAX_PAUSES));
     }
 
-    /// When the renewal on the way is overdue, if the target's answers take `limit` at the most,
-    /// and its number.
+    /// When the renewal in flight is overdue, if the target answers within `limit`, and its number.
     pub fn overdue_at(&self, limit: Duration) -> Option<(Now, u64)> {
         let in_flight = self.in_flight?;
         let at = in_flight.sent_at + in_flight.wait + limit;
         Some((at, in_flight.number))
     }
 
-    /// Whether an end is news.
+    /// Whether an end was not seen before; marks it as seen.
     pub fn is_new_end(&mut self, number: EndNumber) -> bool {
         let is_new = number > self.last_seen;
         self.last_seen = self.last_seen.max(number);
         is_new
     }
 
-    /// Forgets the numbers of another life of the target, at an answer to this renewal of the one
-    /// that lives now. Answers to earlier ones may be the other's.
+    /// Forgets the clock and the end numbers of an earlier incarnation of the target, after the
+    /// current one answered renewal `number`. Answers to earlier renewals may be the earlier one's.
     pub fn forget_numbers(&mut self, number: u64) {
         self.clock = None;
         self.born = None;
@@ -295,7 +293,7 @@
         self.first_number = number;
     }
 
-    /// Forgets what belonged to another life of the target.
+    /// Forgets all state of an earlier incarnation of the target, renewals in flight included.
     pub fn reset_incarnation(&mut self) {
         self.clock = None;
         self.born = None;
@@ -308,31 +306,31 @@
         self.is_refused = false;
     }
 
-    /// A renewal, if none is on the way and no pause is kept. `most_wait` bounds the wait for an
-    /// end; `renew` is false to look only.
-    pub fn next(&mut self, now: Now, most_wait: Duration, renew: bool) -> Option<Renewal> {
+    /// Returns the next renewal, unless one is in flight or a pause lasts. `max_wait` limits the
+    /// wait for an end; without `renew` it is only a query.
+    pub fn next(&mut self, now: Now, max_wait: Duration, renew: bool) -> Option<Renewal> {
         if self.in_flight.is_some() || self.retry_at.is_some_and(|at| at > now) {
             return None;
         }
-        // The first call only learns the clock; after a lost answer there is no time to wait.
+        // The first call only reads the clock; after a lost answer the next one is not to wait.
         let wait = if self.clock.is_none() || self.silent_calls > 0 {
             Duration::ZERO
         } else if self.lossy_until > now {
-            most_wait.clamp(LEAST_WAIT, LOSSY_WAIT)
+            max_wait.clamp(MIN_WAIT, LOSSY_WAIT)
         } else {
-            most_wait.clamp(LEAST_WAIT, self.most_wait)
+            max_wait.clamp(MIN_WAIT, self.max_wait)
         };
         Some(self.send(now, renew, wait))
     }
 
-    /// A renewal that does not wait, though another may be on the way.
+    /// Returns a renewal that does not wait, even if another one is in flight.
     pub fn at_once(&mut self, now: Now, renew: bool) -> Renewal {
         self.send(now, renew, Duration::ZERO)
     }
 
     fn send(&mut self, now: Now, renew: bool, wait: Duration) -> Renewal {
         self.retry_at = None;
-        // A target in doubt is only looked at: its leases must run out for its runs to be over.
+        // A target that may be lost is only queried: its leases must lapse to end its runs.
         let until = if renew && !self.has_unanswered_call() {
             self.new_until(now)
         } else {
@@ -346,8 +344,8 @@
             token: self.token,
             wait,
         });
-        // Behind a silence or a pause a new life may answer, whose ends this number would make it
-        // forget: runs that it has done would then pass for lost.
+        // After a silence or a pause a new incarnation may answer. The number would make it forget
+        // its own ends, and the runs that it finished would count as lost.
         let last_seen = if self.listed_at == Some(now) {
             self.last_seen
         } else {
@@ -363,8 +361,8 @@
         }
     }
 
-    /// Notes the answer to a renewal. None if a later one has taken its place: what it lists may
-    /// then be out of date.
+    /// Records the answer to a renewal. Returns none if a later renewal has replaced it, as its
+    /// lists may then be out of date.
     pub fn answered(&mut self, number: u64) -> Option<Answered> {
         let in_flight = self.in_flight.filter(|f| f.number == number)?;
         self.in_flight = None;
@@ -374,7 +372,7 @@
         })
     }
 
-    /// Notes that a renewal was refused; it is tried again after a pause.
+    /// Records that a renewal was refused; it is retried after a pause.
     pub fn failed(&mut self, now: Now, number: u64) {
         self.pause(now, number, 1);
     }
@@ -385,7 +383,7 @@
         }
     }
 
-    /// When a failed renewal is due again.
+    /// When a failed renewal is to be retried.
     pub fn retry_at(&self) -> Option<Now> {
         self.retry_at
     }
--- a/lib/src/timings.rs
+++ b/lib/src/timings.rs
@@ -1,56 +1,53 @@
-//! The chain of times that makes it safe to start a task again, worked out from the platform's
-//! bounds.
+//! All lease lengths and timeouts, derived from the platform's bounds.
 //!
-//! A task may run again elsewhere once its last run must be over. Who holds what for how long is
-//! decided here and nowhere else, so that the inequalities can be read, and are tested, in one
-//! place. docs/design/platform.md tells the chain as a story.
+//! A task may be restarted elsewhere only after its last run must have ended. The inequalities that
+//! guarantee this are all here, where they are tested; docs/design/platform.md explains them.
 
 use std::time::Duration;
 
 use snafu::{Snafu, ensure};
 
-/// Targets' clocks may be 2% slow, so that a lease lasts longer than it says.
-const SLOW_CLOCK: f64 = 1.02;
-/// Longest word of an entry: with three heartbeats in it, a lost packet costs nothing, and the
-/// runs of an entry that is gone free their places within a second.
-const MOST_ENTRY_LEASE: Duration = Duration::from_millis(800);
-/// Heartbeats of an agent in one word of an entry, and some slack for the way.
-const HEARTBEATS_A_LEASE: f64 = 3.2;
-/// Longest time that an entry whose link is closed has to come back. Processes on busy VMs dial
-/// again within 60 ms.
-const MOST_RECONNECT_GRACE: Duration = Duration::from_millis(250);
-/// Shortest time within which a stop must be seen to succeed; several tries.
-const LEAST_STOP_BOUND: Duration = Duration::from_millis(200);
-/// Times that a stop may take as long as the platform says, with repetitions.
-const STOPS_A_BOUND: u32 = 10;
-/// Scheduling of a busy VM, added to what a lease takes to lapse.
+/// How much longer a lease may last than its length, because a target's clock may run slow.
+const CLOCK_SLOWDOWN: f64 = 1.02;
+/// Longest lease of an entry on its runs: survives a lost heartbeat, and frees the capacity of a
+/// lost entry's runs within a second.
+const MAX_ENTRY_LEASE: Duration = Duration::from_millis(800);
+/// Heartbeats of an agent in one lease of an entry, with slack for the network.
+const HEARTBEATS_PER_LEASE: f64 = 3.2;
+/// Longest time that an entry has to reconnect after its link was closed.
+const MAX_RECONNECT_GRACE: Duration = Duration::from_millis(250);
+/// Shortest time within which a stop must succeed; covers several attempts.
+const MIN_STOP_BOUND: Duration = Duration::from_millis(200);
+/// Multiple of the platform's stop time within which a stop, with retries, must succeed.
+const STOPS_PER_BOUND: u32 = 10;
+/// Allowance for scheduling delays on a busy VM, added to the time that a lease takes to lapse.
 const LAPSE_SLACK: Duration = Duration::from_millis(70);
-/// Room for rounding and scheduling at the end of the chain.
+/// Allowance for rounding and scheduling delays in [`Timings::lost_proof`].
 const PROOF_SLACK: Duration = Duration::from_millis(160);
-/// Longest suspension of a VM, target and agent, that is borne: until it is over, nothing tells it from
-/// a loss of power, and the target's leases do not run out.
-const MOST_SUSPENSION: Duration = Duration::from_secs(10);
-/// Longest time that a run without an owner waits for one: a few dials.
-const MOST_CLAIM_GRACE: Duration = Duration::from_millis(200);
-/// How long a stopping entry serves everything: the balancer asks every second and takes an entry
-/// out at the second miss.
-const MOST_SERVE_ON: Duration = Duration::from_millis(3_200);
+/// Longest tolerated suspension of a VM with its target and agent. Until it ends it looks like a
+/// loss of power, but the target's leases do not lapse.
+const MAX_SUSPENSION: Duration = Duration::from_secs(10);
+/// Longest time that a run without an owner waits for one: covers a few dials.
+const MAX_CLAIM_GRACE: Duration = Duration::from_millis(200);
+/// Longest time that a stopping entry serves all requests: the load balancer polls every second and
+/// removes an entry at the second failure.
+const MAX_SERVE_ON: Duration = Duration::from_millis(3_200);
 
-/// What the platform's settings say.
+/// The platform's guarantees, from its settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlatformBounds {
-    /// Longest lease that targets give.
+    /// Longest lease that targets grant.
     pub longest_lease: Duration,
     /// Longest time that a target takes to stop a run.
     pub stop_time: Duration,
-    /// Time from the order to stop a process until it is killed.
+    /// Time from the signal that stops a process until it is killed.
     pub shutdown_grace: Duration,
-    /// How long after a broken connection a caller comes again.
+    /// How long after a broken connection a caller retries.
     pub caller_return: Duration,
 }
 
 impl Default for PlatformBounds {
-    /// For settings that leave a bound out: the figures of all deployments known so far.
+    /// The bounds that apply when the settings leave them out.
     fn default() -> Self {
         Self {
             longest_lease: Duration::from_millis(1_000),
@@ -61,79 +58,80 @@
     }
 }
 
-/// A bound with which the chain can't hold.
+/// A bound with which the timings can't be safe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum TimingsError {
     /// Leases would lapse between two renewals.
     #[snafu(display("the longest lease is {is:?}, expected 200 ms to 1 h"))]
     LongestLease {
-        /// What it is.
+        /// The configured value.
         is: Duration,
     },
-    /// Stops would take longer than the proof that they failed.
-    #[snafu(display("the time of a stop is {is:?}, expected at most 2 s"))]
+    /// Stops would take longer than the time after which they count as failed.
+    #[snafu(display("the stop time is {is:?}, expected at most 2 s"))]
     StopTime {
-        /// What it is.
+        /// The configured value.
         is: Duration,
     },
-    /// There would be no time to finish anything.
-    #[snafu(display("the grace of a shutdown is {is:?}, expected 1 s to 1 h"))]
+    /// There would be no time to finish open requests.
+    #[snafu(display("the shutdown grace is {is:?}, expected 1 s to 1 h"))]
     ShutdownGrace {
-        /// What it is.
+        /// The configured value.
         is: Duration,
     },
-    /// Callers would be back before the work of an entry that died is stopped.
+    /// Callers would retry before the runs of an entry that died are stopped.
     #[snafu(display(
-        "callers return after {is:?}, expected 500 ms to 1 h, and ten stops at least"
+        "callers return after {is:?}, expected 500 ms to 1 h and at least ten times the stop time"
     ))]
     CallerReturn {
-        /// What it is.
+        /// The configured value.
         is: Duration,
     },
 }
 
-/// See the module. Each time names the process whose clock counts it.
+/// Lease lengths and timeouts. Each names the process whose clock measures it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timings {
-    /// How long an agent keeps an entry's runs after the entry's last word (agent).
+    /// How long an agent keeps an entry's runs after the entry's last packet (agent).
     pub entry_lease: Duration,
-    /// How often an agent shows a quiet link that it lives (agent).
+    /// Interval between heartbeats of an agent on an idle link (agent).
     pub heartbeat: Duration,
-    /// A link that has been silent for so long is closed and dialled again (both).
+    /// Silence after which a link is closed and dialled again (both).
     pub silent_link: Duration,
-    /// How long an order to start may take to reach the agent; later ones are refused (agent).
+    /// How long a start may take to reach the agent; later ones are refused (agent).
     pub start_window: Duration,
-    /// A closed link may be back within this; then the entry's runs are stopped (agent).
+    /// Time that an entry has to reconnect before its runs are stopped (agent).
     pub reconnect_grace: Duration,
-    /// How long a run that an agent adopted waits for an entry to claim it (agent).
+    /// How long an adopted run waits for an entry to claim it (agent).
     pub claim_grace: Duration,
-    /// How often a stop is sent again until its end is listed (agent).
+    /// Interval at which a stop is resent until the run's end is listed (agent).
     pub stop_again: Duration,
-    /// A run of an entry whose lease ran out must be over by then, or the target's whole lease is
-    /// let lapse (agent).
+    /// Time within which an orphaned run must end, or the whole lease of the target is left to
+    /// lapse (agent).
     pub stop_bound: Duration,
-    /// Lease that is asked for: the longest one, unless callers return sooner than it lapses
+    /// Length of the requested lease: the longest one, unless callers retry before that one lapses
     /// (target).
     pub target_lease: Duration,
-    /// From a renewal until what it held must be over, whatever the target's clock (agent).
+    /// Time from a renewal until the runs that it covers must have ended, even if the target's
+    /// clock is slow (agent).
     pub lapse: Duration,
-    /// Longest wait of a renewal at the target: one lost renewal is made good in time (agent).
+    /// Longest wait of a renewal at the target; leaves time to repeat a lost renewal (agent).
     pub renewal_wait: Duration,
-    /// From the last word to an agent that is lost until its runs are proven over, though its VM may
-    /// have been suspended meanwhile (entry).
+    /// Time from the last packet to a lost agent until its runs must have ended, even if its VM was
+    /// suspended (entry).
     pub lost_proof: Duration,
     /// How long a stopping entry serves all requests (entry).
     pub serve_on: Duration,
-    /// When a stopping entry ends at the latest (entry).
+    /// Longest time that a stopping entry takes to exit (entry).
     pub entry_stop: Duration,
-    /// When a stopping agent ends at the latest (agent).
+    /// Longest time that a stopping agent takes to exit (agent).
     pub agent_stop: Duration,
-    /// How long after a broken connection a caller comes again.
+    /// How long after a broken connection a caller retries.
     pub caller_return: Duration,
 }
 
 impl Timings {
-    /// Works the times out.
+    /// Derives the timings from the bounds. Fails if a bound is out of range.
     pub fn new(bounds: PlatformBounds) -> Result<Self, TimingsError> {
         check(bounds)?;
         let PlatformBounds {
@@ -142,36 +140,37 @@
             shutdown_grace,
             caller_return,
         } = bounds;
-        // Callers of an entry that died find their runs stopped, though a stop may need two tries.
-        let entry_lease = MOST_ENTRY_LEASE.min(caller_return.mul_f64(0.62));
-        let heartbeat = entry_lease.div_f64(HEARTBEATS_A_LEASE);
-        let reconnect_grace = MOST_RECONNECT_GRACE.min(caller_return / 5);
-        // A target that falls silent as an entry dies lets that entry's runs lapse before the
-        // callers are back.
+        // When callers of an entry that died retry, their runs are stopped, even if a stop needs
+        // two attempts.
+        let entry_lease = MAX_ENTRY_LEASE.min(caller_return.mul_f64(0.62));
+        let heartbeat = entry_lease.div_f64(HEARTBEATS_PER_LEASE);
+        let reconnect_grace = MAX_RECONNECT_GRACE.min(caller_return / 5);
+        // If a target becomes silent when an entry dies, that entry's runs lapse before the callers
+        // retry.
         let target_lease = longest_lease.min(caller_return.mul_f64(0.77));
-        let lapse = target_lease.mul_f64(SLOW_CLOCK) + stop_time + LAPSE_SLACK;
-        let stop_bound = LEAST_STOP_BOUND.max(stop_time * STOPS_A_BOUND);
+        let lapse = target_lease.mul_f64(CLOCK_SLOWDOWN) + stop_time + LAPSE_SLACK;
+        let stop_bound = MIN_STOP_BOUND.max(stop_time * STOPS_PER_BOUND);
         Ok(Self {
             entry_lease,
             heartbeat,
             silent_link: heartbeat * 6,
             start_window: entry_lease.mul_f64(0.625),
             reconnect_grace,
-            claim_grace: MOST_CLAIM_GRACE.min(target_lease / 5),
+            claim_grace: MAX_CLAIM_GRACE.min(target_lease / 5),
             stop_again: (stop_time * 2).max(Duration::from_millis(20)),
             stop_bound,
             target_lease,
             lapse,
             renewal_wait: target_lease.mul_f64(0.33),
-            lost_proof: entry_lease + stop_bound + lapse + PROOF_SLACK + MOST_SUSPENSION,
-            serve_on: MOST_SERVE_ON.min(shutdown_grace.mul_f64(0.54)),
+            lost_proof: entry_lease + stop_bound + lapse + PROOF_SLACK + MAX_SUSPENSION,
+            serve_on: MAX_SERVE_ON.min(shutdown_grace.mul_f64(0.54)),
             entry_stop: shutdown_grace.mul_f64(0.885),
             agent_stop: shutdown_grace.mul_f64(0.835),
             caller_return,
         })
     }
 
-    /// An agent's packet is answered at the latest after this much silence from the entry.
+    /// Longest silence of an entry before it answers an agent's packet.
     pub fn answer_after(&self) -> Duration {
         self.heartbeat.mul_f64(0.6)
     }
@@ -194,8 +193,8 @@
 }
 
 impl Default for Timings {
-    /// The times for the default bounds.
+    /// The timings for the default bounds.
     fn default() -> Self {
-        Self::new(PlatformBounds::default()).expect("the chain holds for the default bounds")
+        Self::new(PlatformBounds::default()).expect("the default bounds are in range")
     }
 }
