--- a/lib/src/events.rs
+++ b/lib/src/events.rs
@@ -1,31 +1,31 @@
-//! Numbered log events. docs/EVENTS.md is the catalogue; a test holds it against this table.
+//! Numbered log events. docs/EVENTS.md lists them; a test compares it with this table.
 
 use log::Level;
 
-/// The number and meaning of an event.
+/// Number, level and text of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventInfo {
-    /// The event.
+    /// Code of the event.
     pub code: EventCode,
     /// Number in the catalogue.
     pub number: u16,
-    /// How loud it is.
+    /// Log level.
     pub level: Level,
-    /// What has happened.
+    /// Description of the event.
     pub text: &'static str,
 }
 
-/// Something worth a line in the log.
+/// An event to be logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogEvent {
-    /// What has happened.
+    /// Code of the event.
     pub code: EventCode,
-    /// To whom, and details.
+    /// Details, such as the process or run concerned.
     pub detail: String,
 }
 
 impl LogEvent {
-    /// An event about `detail`.
+    /// Creates an event.
     pub fn new(code: EventCode, detail: impl Into<String>) -> Self {
         let detail = detail.into();
         Self { code, detail }
@@ -63,14 +63,14 @@
     Draining = 1002, Info, "drain began";
     Drained = 1003, Info, "drain ended";
     DrainCut = 1004, Warn, "drain reached its limit";
-    Resumed = 1005, Warn, "VM was suspended and goes on";
+    Resumed = 1005, Warn, "VM resumed after a suspension";
     ConfigInForce = 1101, Info, "configuration in force";
-    ConfigLost = 1102, Info, "configuration change lost its race";
-    ConfigBehind = 1103, Warn, "a newer configuration is known than held";
+    ConfigLost = 1102, Info, "configuration change lost to a concurrent change";
+    ConfigBehind = 1103, Warn, "a newer configuration is known than the held one";
     ConfigGap = 1104, Warn, "log records expired unread";
     SnapshotSent = 1105, Info, "configuration head written to the log again";
     EvacuationsChanged = 1106, Info, "evacuated data halls changed";
-    RecordUnreadable = 1107, Error, "operators' record can't be read, passed over";
+    RecordUnreadable = 1107, Error, "unreadable operator record ignored";
     LogDown = 1201, Warn, "log service does not answer";
     LogUp = 1202, Info, "log service answers again";
     ListDown = 1203, Warn, "VM list does not answer";
@@ -78,24 +78,24 @@
     AgentJoined = 1301, Info, "agent session opened";
     AgentLost = 1302, Warn, "agent session lost";
     AgentLeaving = 1303, Info, "target is leaving";
-    AgentGone = 1304, Warn, "agent life is over";
-    AgentRefused = 1305, Warn, "agent refused at hello";
-    SessionGap = 1306, Warn, "session closed for a missing frame";
+    AgentGone = 1304, Warn, "agent incarnation ended";
+    AgentRefused = 1305, Warn, "agent refused in the handshake";
+    SessionGap = 1306, Warn, "session closed after a missing frame";
     PeerJoined = 1401, Info, "peer session opened";
     PeerLost = 1402, Warn, "peer session lost";
-    TargetSetAside = 1501, Warn, "target set aside for its failures";
-    TargetProbed = 1502, Info, "target gets a probe";
-    TargetReturned = 1503, Info, "target allowed more work";
+    TargetSetAside = 1501, Warn, "target ejected after failures";
+    TargetProbed = 1502, Info, "probe sent to an ejected target";
+    TargetReturned = 1503, Info, "target readmitted or its allowance raised";
     TargetDown = 1504, Warn, "target refuses connections";
     TargetUp = 1505, Info, "target accepts connections again";
     EntryJoined = 1601, Info, "entry session opened";
     EntryLost = 1602, Warn, "entry session lost";
-    EntryForgotten = 1603, Warn, "entry gone for long, its dispatches forgotten";
-    EntryParted = 1604, Info, "link to an entry given up, for there are enough";
-    MalformedFrame = 1701, Warn, "session closed for a malformed frame";
+    EntryForgotten = 1603, Warn, "entry absent for long, its dispatches forgotten";
+    EntryParted = 1604, Info, "surplus link to an entry closed";
+    MalformedFrame = 1701, Warn, "session closed after a malformed frame";
     StrangerRefused = 1702, Warn, "connection without the fleet secret refused";
     RingFull = 1703, Error, "ring between threads is full";
-    LinesDropped = 1704, Warn, "log lines dropped, more than the bound came";
+    LinesDropped = 1704, Warn, "log lines dropped, limit exceeded";
     StoreDown = 1801, Warn, "the platform's store does not answer";
     StoreUp = 1802, Info, "the platform's store answers again";
     SettingsReload = 1803, Info, "settings file read again";
@@ -104,32 +104,32 @@
     BatchAdmitted = 1901, Info, "batch admitted";
     BatchRefused = 1902, Info, "batch refused, nothing of it runs";
     BatchAnswered = 1903, Info, "batch answered";
-    BatchClosed = 1904, Info, "batch not wanted any more, its runs are stopped";
+    BatchClosed = 1904, Info, "batch closed before its answer, its runs are stopped";
     TasksPlaced = 1905, Info, "tasks sent to a target";
     TaskAgain = 1906, Info, "run over without success, its task waits again";
     TaskMoved = 1907, Info, "slow run stopped, to go on elsewhere";
-    TaskSuspected = 1908, Warn, "target crashed while it had a run, its task is suspected";
-    TaskGivenUp = 1909, Warn, "task given up, for targets crash under it";
-    TargetReported = 2001, Info, "target reports on itself";
+    TaskSuspected = 1908, Warn, "target crashed during a run, its task is suspected";
+    TaskGivenUp = 1909, Warn, "task given up, its runs crashed targets";
+    TargetReported = 2001, Info, "target reported its state";
     TargetLeaving = 2002, Info, "target says that it leaves";
-    TargetLifeOver = 2003, Warn, "life of the target is over";
+    TargetLifeOver = 2003, Warn, "target incarnation ended";
     TargetListsRead = 2004, Info, "target's lists read for the first time";
-    TargetLifeReported = 2005, Info, "another life of the target reports, it is asked";
-    ReportPassedOver = 2006, Warn, "report of the target passed over, for it is taken for an old one";
-    EndPassedOver = 2007, Warn, "end of a run that is still booked passed over, for its number was seen before";
-    TargetGoodbye = 2008, Info, "target says goodbye, it is closed until it answers again";
-    ReportUnreadable = 2009, Warn, "report or goodbye that can't be read, another writer's: passed over";
-    RunNotStarted = 2101, Info, "order led to no run";
+    TargetLifeReported = 2005, Info, "another target incarnation reported, it is queried";
+    ReportPassedOver = 2006, Warn, "target report ignored, it is outdated or of another service";
+    EndPassedOver = 2007, Warn, "end of an open run ignored, its number was seen before";
+    TargetGoodbye = 2008, Info, "target sent a goodbye, it is closed until it answers again";
+    ReportUnreadable = 2009, Warn, "unreadable report or goodbye of another writer ignored";
+    RunNotStarted = 2101, Info, "start led to no run";
     RunEnded = 2102, Info, "run ended";
-    RunAdopted = 2103, Info, "run of an earlier life of the agent adopted";
+    RunAdopted = 2103, Info, "run of an earlier agent incarnation adopted";
     RunSlow = 2104, Info, "run is far slower than its estimate";
-    RunOrphaned = 2105, Info, "nobody answers for a run, it is stopped";
-    StartUnanswered = 2106, Warn, "start not answered, fenced off";
+    RunOrphaned = 2105, Info, "orphaned run stopped";
+    StartUnanswered = 2106, Warn, "start not answered, a new fencing token invalidates it";
     TargetCallFailed = 2107, Info, "call to the target got no answer";
 }
 
 impl EventCode {
-    /// Its entry in the catalogue.
+    /// Returns the code's entry in the catalogue.
     pub fn info(self) -> &'static EventInfo {
         CATALOGUE
             .iter()
