--- a/lib/src/active_batch.rs
+++ b/lib/src/active_batch.rs
@@ -1,4 +1,4 @@
-//! One batch that an entry holds, with its steps and tasks.
+//! State of a batch that an entry holds, with its steps and tasks.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -11,63 +11,65 @@
 use crate::queue::Queue;
 use crate::run::{BatchId, RunKey, RunNumber, TaskKey};
 
-/// Where a task is.
+/// State of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TaskState {
-    /// It is to be placed.
+    /// The task waits to be placed.
     Waiting,
-    /// An order to start it has been sent, and nothing proves that it is over.
+    /// A start order was sent, and the run isn't proven over yet.
     Assigned {
-        /// Agent that has the order.
+        /// Agent that the order was sent to.
         agent: NodeName,
-        /// When it was sent.
+        /// When the order was sent.
         sent: Now,
-        /// Whether it is being stopped.
+        /// Whether a stop was ordered.
         stopping: bool,
     },
-    /// It has ended well.
+    /// The task has succeeded.
     Done,
 }
 
-/// A task.
+/// A task and the history of its runs.
 #[derive(Debug, Clone)]
 pub struct Task {
-    /// Where it is.
+    /// State of the task.
     pub state: TaskState,
-    /// Number of its present or next run.
+    /// Number of the current run, or of the next one.
     pub run: RunNumber,
-    /// Runs that ended `failed`.
+    /// Number of runs that ended as failed.
     pub failures: u32,
-    /// Agent that served it badly last.
+    /// Agent to avoid in the next run: an earlier one failed, crashed or was stopped there.
     pub avoid: Option<NodeName>,
-    /// Crashes of targets that had a run of it.
+    /// Target crashes during its runs.
     pub crashes: CrashHistory,
 }
 
 /// A step and its tasks.
 #[derive(Debug)]
 pub struct Step {
-    /// What was asked for.
+    /// The step as submitted.
     pub spec: StepSpec,
-    /// Its tasks.
+    /// Tasks of the step.
     pub tasks: Vec<Task>,
-    /// Tasks that are not done.
-    pub left: u32,
-    /// Agent on whose target a task of the step was first found slow, and how long the shortest of
-    /// its slow tasks would take.
+    /// Number of tasks that are not done.
+    pub unfinished: u32,
+    /// Agent where a task of the step was first reported slow, and the shortest projected run time
+    /// of the step's slow tasks.
     slow_at: Option<(NodeName, Duration)>,
-    /// Whether tasks of the step have been found slow at two agents.
+    /// Whether tasks of the step were reported slow at two agents.
     is_estimate_wrong: bool,
 }
 
 impl Step {
-    /// Notes that a task of the step is slow at an agent, where it would take so long; says whether
-    /// tasks have been slow at two agents by now. Then it is the estimate that is wrong, not the
-    /// targets, and moving on would go on for ever. The time that was seen takes its place: sent on
-    /// with the next orders, the wrong one would make targets seem slow to all entries.
-    pub fn is_slow_everywhere(&mut self, agent: &NodeName, takes: Duration) -> bool {
-        let (first, shortest) = self.slow_at.get_or_insert_with(|| (agent.clone(), takes));
-        *shortest = takes.min(*shortest);
+    /// Records a task that is slow at an agent, with its projected run time. Returns whether tasks
+    /// have been slow at two agents. Then the estimate is wrong, and moving tasks would never end.
+    /// The shortest projected time replaces the estimate: in further orders, the wrong estimate
+    /// would make targets appear slow to all entries.
+    pub fn is_slow_everywhere(&mut self, agent: &NodeName, projected: Duration) -> bool {
+        let (first, shortest) = self
+            .slow_at
+            .get_or_insert_with(|| (agent.clone(), projected));
+        *shortest = projected.min(*shortest);
         if *first != *agent {
             self.is_estimate_wrong = true;
             self.spec.estimate = *shortest;
@@ -76,68 +78,68 @@
     }
 }
 
-/// Whether a batch is still wanted.
+/// State of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchState {
-    /// It is.
+    /// The batch is being run.
     Open,
-    /// It is not: what runs is being stopped, and the rest never starts.
+    /// The batch is being closed: its open runs are stopped, and no other task starts.
     Closing(CloseReason),
 }
 
-/// Why a batch is not wanted any more.
+/// Reason why a batch is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its caller has gone.
+    /// The caller disconnected.
     CallerGone,
-    /// Its caller's time is up.
+    /// The caller deadline or the placement deadline has passed.
     Deadline,
-    /// It was cancelled.
+    /// The batch was cancelled.
     Cancelled,
-    /// It was answered as failed.
+    /// The batch was answered as failed.
     Failed,
-    /// The entry stops.
+    /// The entry is shutting down.
     Draining,
     /// Every target that could serve it is in an evacuated data hall.
     Evacuated,
 }
 
-/// A batch.
+/// A batch that an entry holds.
 #[derive(Debug)]
 pub struct Batch {
-    /// Whom to answer; none once answered or gone.
+    /// Request to answer; `None` once it was answered or its caller disconnected.
     pub request: Option<RequestId>,
-    /// Its queue, as configured when it came.
+    /// Queue of the batch, as configured when the batch arrived.
     pub queue: Arc<Queue>,
-    /// What every task is given.
+    /// Payload passed to every task.
     pub payload: Payload,
-    /// Its steps.
+    /// Steps of the batch.
     pub steps: Vec<Step>,
-    /// When it came.
+    /// Time of arrival.
     pub arrived: Now,
-    /// When it should be done.
+    /// Time by which it should be done according to its objective.
     pub due: Now,
-    /// Whether it can't be in time: its caller has been elsewhere before, or no target was there
-    /// while it had time.
+    /// Whether it can no longer be in time: its objective had passed when its caller retried here,
+    /// or it wasn't placed in time.
     pub is_overdue: bool,
-    /// When its caller's time is up.
+    /// Time at which the caller stops waiting.
     pub caller_deadline: Now,
-    /// When it can't be in time any more if nothing of it has been placed by then.
+    /// Latest time of its first placement at which it can still be in time.
     pub in_time_until: Now,
-    /// When it is refused if nothing of it has been placed by then.
+    /// Time at which it is refused if none of its tasks has been placed.
     pub placement_deadline: Now,
-    /// Whether any order to start was ever sent for it.
+    /// Whether a start order was ever sent for it.
     pub was_dispatched: bool,
-    /// Links on which its payload was sent.
+    /// Links over which its payload was sent.
     pub payload_sent_to: BTreeSet<SessionId>,
-    /// Tasks out.
+    /// Number of open runs.
     pub open_runs: u32,
-    /// Whether it is still wanted.
+    /// State of the batch.
     pub state: BatchState,
 }
 
 impl Batch {
-    /// A batch that has just come.
+    /// Creates a batch that has just arrived; all its tasks wait.
     pub fn new(
         spec: &BatchSpec,
         payload: Payload,
@@ -155,7 +157,7 @@
         let steps = spec.steps.iter().map(|spec| Step {
             spec: spec.clone(),
             tasks: vec![task.clone(); spec.count as usize],
-            left: spec.count,
+            unfinished: spec.count,
             slow_at: None,
             is_estimate_wrong: false,
         });
@@ -177,32 +179,34 @@
         }
     }
 
-    /// Its place among those that wait.
-    pub fn turn(&self) -> PlacementOrder {
+    /// Returns the batch's position in the placement order.
+    pub fn placement_order(&self) -> PlacementOrder {
         PlacementOrder {
             is_overdue: self.is_overdue,
             due: self.due,
         }
     }
 
-    /// Whether all steps that a step waits for are done.
+    /// Returns whether all steps that a step depends on are done.
     pub fn is_ready(&self, step: usize) -> bool {
         let after = &self.steps[step].spec.after;
-        after.iter().all(|a| self.steps[usize::from(*a)].left == 0)
+        after
+            .iter()
+            .all(|a| self.steps[usize::from(*a)].unfinished == 0)
     }
 
-    /// Whether every task is done.
+    /// Returns whether every task is done.
     pub fn is_done(&self) -> bool {
-        self.steps.iter().all(|s| s.left == 0)
+        self.steps.iter().all(|s| s.unfinished == 0)
     }
 
-    /// Whether targets have crashed twice or more under one of its tasks.
+    /// Returns whether targets crashed at least twice while running one of its tasks.
     pub fn crashes_targets(&self) -> bool {
         let mut tasks = self.steps.iter().flat_map(|step| &step.tasks);
         tasks.any(|task| task.crashes.must_run_alone())
     }
 
-    /// Tasks that wait and whose turn has come.
+    /// Returns the number of waiting tasks in steps that are ready.
     pub fn waiting_tasks(&self) -> u32 {
         if self.state != BatchState::Open {
             return 0;
@@ -213,16 +217,16 @@
         waiting.sum::<usize>() as u32
     }
 
-    /// The task behind a key, if it is at that run.
+    /// Returns the task of a run, if that run is its current one.
     pub fn task_mut(&mut self, key: RunKey) -> Option<&mut Task> {
         let step = self.steps.get_mut(usize::from(key.task.step))?;
         let task = step.tasks.get_mut(usize::from(key.task.index))?;
         (task.run == key.run).then_some(task)
     }
 
-    /// Runs that are out, with their agents; those that are not being stopped if `live_only`.
-    pub fn open_runs(&self, id: BatchId, live_only: bool) -> Vec<(RunKey, NodeName)> {
-        let mut outs = Vec::new();
+    /// Returns the open runs with their agents, without those being stopped if `skip_stopping`.
+    pub fn open_runs(&self, id: BatchId, skip_stopping: bool) -> Vec<(RunKey, NodeName)> {
+        let mut runs = Vec::new();
         for (step_index, step) in self.steps.iter().enumerate() {
             for (index, task) in step.tasks.iter().enumerate() {
                 let TaskState::Assigned {
@@ -231,7 +235,7 @@
                 else {
                     continue;
                 };
-                if *stopping && live_only {
+                if *stopping && skip_stopping {
                     continue;
                 }
                 let key = RunKey {
@@ -243,36 +247,36 @@
                     },
                     run: task.run,
                 };
-                outs.push((key, agent.clone()));
+                runs.push((key, agent.clone()));
             }
         }
-        outs
+        runs
     }
 }
 
-/// The times of a new batch.
+/// Arrival time and deadlines of a new batch.
 #[derive(Debug, Clone, Copy)]
 pub struct BatchTimes {
-    /// See [`Batch`].
+    /// Same as [`Batch::arrived`].
     pub arrived: Now,
-    /// See [`Batch`].
+    /// Same as [`Batch::due`].
     pub due: Now,
-    /// See [`Batch`].
+    /// Same as [`Batch::is_overdue`].
     pub is_overdue: bool,
-    /// See [`Batch`].
+    /// Same as [`Batch::caller_deadline`].
     pub caller_deadline: Now,
-    /// See [`Batch`].
+    /// Same as [`Batch::in_time_until`].
     pub in_time_until: Now,
-    /// See [`Batch`].
+    /// Same as [`Batch::placement_deadline`].
     pub placement_deadline: Now,
 }
 
-/// Place of a batch among those that wait. Those whose objective was past before they came go last:
-/// they can't be in time any more, and would make others late.
+/// Position of a batch in the placement order: by due time, but overdue batches come last. They
+/// can't be in time any more, and would make others late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlacementOrder {
-    /// See [`Batch`].
+    /// Same as [`Batch::is_overdue`].
     pub is_overdue: bool,
-    /// See [`Batch`].
+    /// Same as [`Batch::due`].
     pub due: Now,
 }
--- a/lib/src/backlog_monitor.rs
+++ b/lib/src/backlog_monitor.rs
@@ -1,28 +1,25 @@
-//! Whether batches wait only for a moment, or have done so for some time.
+//! Detects a lasting backlog and shortens the time that new batches may wait.
 //!
-//! A short burst is served best by letting batches wait for as long as they can be in time. In a
-//! queue that stands, that makes everybody wait for nothing: each batch is placed at its last
-//! moment, and late if its estimate was short. Halving the wait there took late answers on days with
-//! bursts from 1.9% to 1.7% of all (4 days of 34 s, 11 targets, bursts of 1.3 times the load of all
-//! kinds and 1.6 times that of one).
+//! In a short burst, batches may wait as long as they can still meet their objective. In a lasting
+//! backlog, every batch would be placed at its last moment, and late if its estimate was too short.
 
 use std::time::Duration;
 
 use crate::ids::Now;
 
-/// A queue that has not been empty for so long stands.
-const STANDS_AFTER: Duration = Duration::from_millis(300);
-/// Share of its slack for which a batch waits in a queue that stands.
-const STANDING_SHARE: f64 = 0.5;
+/// Time for which batches must have waited without a break to count as a backlog.
+const BACKLOG_AFTER: Duration = Duration::from_millis(300);
+/// Share of its slack for which a batch may wait during a backlog.
+const BACKLOG_SLACK_SHARE: f64 = 0.5;
 
-/// See the module.
+/// Time since which batches have been waiting without a break.
 #[derive(Debug, Default)]
 pub struct BacklogMonitor {
     since: Option<Now>,
 }
 
 impl BacklogMonitor {
-    /// Notes whether any batch waits.
+    /// Records whether any batch is waiting.
     pub fn note(&mut self, now: Now, has_waiting: bool) {
         if has_waiting {
             self.since.get_or_insert(now);
@@ -31,11 +28,11 @@
         }
     }
 
-    /// How long a new batch with this slack is to wait at the most.
+    /// Returns the longest time that a new batch with this slack may wait.
     pub fn allowance(&self, now: Now, slack: Duration) -> Duration {
-        let stands = self.since.is_some_and(|since| since + STANDS_AFTER <= now);
-        if stands {
-            slack.mul_f64(STANDING_SHARE)
+        let has_backlog = self.since.is_some_and(|since| since + BACKLOG_AFTER <= now);
+        if has_backlog {
+            slack.mul_f64(BACKLOG_SLACK_SHARE)
         } else {
             slack
         }
--- a/lib/src/batch.rs
+++ b/lib/src/batch.rs
@@ -1,4 +1,4 @@
-//! A batch as its caller describes it.
+//! A batch as submitted by its caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,87 +8,87 @@
 use crate::resources::Resources;
 use crate::run::BatchId;
 
-/// Most tasks of one batch.
-pub const MOST_TASKS: u32 = 1_100;
+/// Largest number of tasks in one batch.
+pub const MAX_TASKS: u32 = 1_100;
 
-/// A step: tasks that are alike.
+/// A step of a batch: a number of identical tasks.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepSpec {
     /// Number of tasks.
     pub count: u32,
-    /// What each needs.
+    /// Resources that each task needs.
     pub size: Resources,
-    /// The caller's guess of how long each takes.
+    /// The caller's estimate of the run time of each task.
     pub estimate: Duration,
-    /// Steps that must be done first.
+    /// Indexes of the steps that must be done first.
     pub after: Vec<u16>,
-    /// Label that the target must have.
+    /// Label that the target must have, if any.
     pub required_label: Option<String>,
-    /// Rack label where the work goes faster.
+    /// Label of the rack where the tasks run faster, if any.
     pub preferred_rack: Option<String>,
-    /// Most tasks of the step that one target may run at a time.
+    /// Largest number of the step's tasks that one target may run at a time.
     pub most_per_target: Option<u32>,
 }
 
-/// What a caller may ask for that is not carried yet; such a batch is refused before anything
-/// runs.
+/// Feature that a caller may request but that isn't supported yet. Such a batch is refused before
+/// any of its tasks runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unsupported {
-    /// A batch that must be kept beyond its request.
+    /// A batch that outlives its request.
     Kept,
-    /// Tasks that work only together.
+    /// Tasks that must all run at the same time.
     Gang,
     /// Tasks that run until they are cancelled.
     Persistent,
-    /// Batches that repeat at given times.
+    /// Batches that repeat on a schedule.
     Repeated,
-    /// Queues whose targets are picked by the platform's advice.
+    /// Queues whose targets are chosen by the platform's advice.
     Advice,
 }
 
-/// A whole batch.
+/// A complete batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BatchSpec {
-    /// Its id.
+    /// Id of the batch.
     pub id: BatchId,
-    /// What every task is given.
+    /// Payload passed to every task.
     pub payload: Arc<str>,
-    /// The steps.
+    /// Steps of the batch; each may depend on earlier ones.
     pub steps: Vec<StepSpec>,
-    /// The first thing in it that is not carried, if any.
+    /// The first unsupported feature that it requests, if any.
     pub unsupported: Option<Unsupported>,
 }
 
-/// Why a batch makes no sense.
+/// Reason why a batch is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, snafu::Snafu)]
 pub enum BatchError {
-    /// It has no task.
+    /// The batch has no tasks.
     #[snafu(display("steps: a batch needs at least one task"))]
     Empty,
-    /// It has too many.
-    #[snafu(display("steps: {tasks} tasks, expected at most {MOST_TASKS}"))]
+    /// The batch has more than [`MAX_TASKS`] tasks.
+    #[snafu(display("steps: {tasks} tasks, expected at most {MAX_TASKS}"))]
     TooManyTasks {
-        /// How many.
+        /// Number of tasks.
         tasks: u64,
     },
-    /// A step waits for one that does not come before it.
+    /// A step depends on one that doesn't precede it.
     #[snafu(display("steps[{step}].after: {after} is no earlier step"))]
     After {
-        /// The step.
+        /// Index of the step.
         step: usize,
-        /// What it names.
+        /// Index of the step that it depends on.
         after: u16,
     },
 }
 
 impl BatchSpec {
-    /// Refuses a batch that makes no sense.
+    /// Checks the number of tasks and the order of the steps.
     pub fn check(&self) -> Result<(), BatchError> {
         let tasks: u64 = self.steps.iter().map(|s| u64::from(s.count)).sum();
         if tasks == 0 {
             return EmptySnafu.fail();
         }
-        if tasks > u64::from(MOST_TASKS) {
+        if tasks > u64::from(MAX_TASKS) {
             return TooManyTasksSnafu { tasks }.fail();
         }
         for (step, spec) in self.steps.iter().enumerate() {
@@ -99,8 +99,8 @@
         Ok(())
     }
 
-    /// The longest chain of estimated work.
-    pub fn longest_chain(&self) -> Duration {
+    /// Returns the estimated duration of the critical path through the steps.
+    pub fn critical_path(&self) -> Duration {
         let mut ends: Vec<Duration> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let before = step.after.iter().filter_map(|a| ends.get(usize::from(*a)));
--- a/lib/src/batch_entry.rs
+++ b/lib/src/batch_entry.rs
@@ -1,8 +1,8 @@
 //! The entry's core on the platform: a deterministic state machine, `(now, event) -> actions`.
 //!
 //! It routes events to the controllers that own the state: the configuration in force, the
-//! batches, the targets' board, the other entries. A task is started again only on proof that its
-//! last run is over; docs/design/platform.md lists the proofs.
+//! batches, the targets and the other entries. A task is restarted only on proof that its last run
+//! is over; docs/design/platform.md lists the proofs.
 
 mod agents;
 mod callers;
@@ -18,7 +18,7 @@
 use crate::backlog_monitor::BacklogMonitor;
 use crate::batch_event::{EntryAction, EntryEvent, EntryLevels, EntryOptions, Reply};
 use crate::batch_placing::{Placed, PlacementRound};
-use crate::batch_table::{BatchNews, BatchTable, RunOutcome};
+use crate::batch_table::{BatchChange, BatchTable, RunOutcome};
 use crate::deferred_batches::DeferredBatches;
 use crate::entry_directory::{EntryDirectory, Source};
 use crate::entry_drain::EntryDrain;
@@ -32,74 +32,74 @@
 use crate::target_registry::TargetRegistry;
 use crate::wait_forecast::WaitForecast;
 
-/// Batches in a row that find no room before the rest is left for later.
-const MOST_MISSES: u32 = 6;
+/// Number of batches without capacity after which a placement round ends.
+const MAX_PLACEMENT_MISSES: u32 = 6;
 
-/// A task that found no room tells this much about the time after it. Where the link and the targets
-/// are both full, rounds end at the link and don't get to see that room lacks.
-const ROOM_LACKS_FOR: Duration = Duration::from_millis(100);
+/// How long capacity counts as scarce after a task found none. Placement rounds that end at a full
+/// link don't show whether it still is.
+const CAPACITY_SHORTAGE_TTL: Duration = Duration::from_millis(100);
 
-/// Bytes of an answer to a caller, heads included.
-const ANSWER_BYTES: usize = 200;
+/// Estimated bytes of a reply to a caller, including headers.
+const REPLY_BYTES: usize = 200;
 
-/// What waits to be sent to an agent.
+/// Messages queued for an agent.
 #[derive(Debug, Default)]
 struct Outbox {
-    /// Orders, sent at once.
+    /// Orders, sent when the current event has been handled.
     orders: Vec<Order>,
-    /// Entries learnt, sent with the next packet: a heartbeat carries them soon enough, and at a
-    /// start of 55 entries each agent would have 55 packets of every entry otherwise.
+    /// Newly discovered entries, sent with the next packet. Sending them at once would flood the
+    /// agents when many entries start together.
     entries: Vec<SocketAddr>,
 }
 
-/// State of an entry.
+/// Core of an entry, with all of its state.
 pub struct BatchEntryCore {
     options: Arc<EntryOptions>,
     now: Now,
     rng: ChaCha8Rng,
-    out: Vec<EntryAction>,
+    actions: Vec<EntryAction>,
     directory: EntryDirectory,
     table: BatchTable,
     targets: TargetRegistry,
     outboxes: BTreeMap<SessionId, Outbox>,
-    /// Agents that are lost with runs out, and when these are proven over.
-    lost: BTreeMap<NodeName, Now>,
+    /// Lost agents that had open runs, and when these runs are proven over.
+    lost_agents: BTreeMap<NodeName, Now>,
     needs_placing: bool,
     drain: EntryDrain,
-    early: DeferredBatches,
+    deferred: DeferredBatches,
     retry_detector: RetryDetector,
-    standing: BacklogMonitor,
+    backlog: BacklogMonitor,
     forecast: WaitForecast,
-    link: LinkLoad,
-    /// When a task last found no target with room.
-    lacked_room: Option<Now>,
-    /// When the link has room again for what waits.
+    link_load: LinkLoad,
+    /// When a task last found no target with free capacity.
+    capacity_lacked_at: Option<Now>,
+    /// When the link can take another start order; `None` if it can now.
     link_full_until: Option<Now>,
     packer: PayloadPacker,
     exited: bool,
 }
 
 impl BatchEntryCore {
-    /// A new life of an entry.
+    /// Creates the core for a new incarnation of an entry.
     pub fn new(options: EntryOptions) -> Self {
         let options = Arc::new(options);
         Self {
             now: Now::ZERO,
             rng: ChaCha8Rng::seed_from_u64(options.seed ^ options.incarnation),
-            out: Vec::new(),
+            actions: Vec::new(),
             directory: EntryDirectory::new(options.clone(), options.timings.lost_proof),
             table: BatchTable::default(),
             targets: TargetRegistry::default(),
             outboxes: BTreeMap::new(),
-            lost: BTreeMap::new(),
+            lost_agents: BTreeMap::new(),
             needs_placing: false,
             drain: EntryDrain::new(&options.timings),
-            early: DeferredBatches::default(),
+            deferred: DeferredBatches::default(),
             retry_detector: RetryDetector::default(),
-            standing: BacklogMonitor::default(),
+            backlog: BacklogMonitor::default(),
             forecast: WaitForecast::default(),
-            link: LinkLoad::new(options.link_rate),
-            lacked_room: None,
+            link_load: LinkLoad::new(options.link_rate),
+            capacity_lacked_at: None,
             link_full_until: None,
             packer: PayloadPacker::default(),
             exited: false,
@@ -107,15 +107,15 @@
         }
     }
 
-    /// Takes in an event and returns what is to be done, in order.
+    /// Handles an event and returns the resulting actions in order.
     pub fn handle(&mut self, now: Now, event: EntryEvent) -> Vec<EntryAction> {
         self.now = self.now.max(now);
         if self.exited {
             return Vec::new();
         }
-        // Times come first: a process that stood still must not act on what has expired.
-        self.end_due_batches();
-        self.settle_lost();
+        // Deadlines come first: after a suspension, the process must not act on expired state.
+        self.handle_batch_deadlines();
+        self.retry_lost_runs();
         self.dispatch_event(event);
         self.settle_deferred();
         if self.link_full_until.is_some_and(|until| until <= self.now) {
@@ -123,55 +123,55 @@
             self.needs_placing = true;
         }
         self.place_waiting();
-        // What waits for this VM's link says nothing of the room at targets.
-        let waits_for_room = self.table.has_waiting() && self.lacks_room();
-        self.standing.note(self.now, waits_for_room);
-        self.forecast.note_waiting(self.now, waits_for_room);
+        // Tasks that wait for this VM's link don't indicate a lack of capacity at targets.
+        let waits_for_capacity = self.table.has_waiting() && self.lacks_capacity();
+        self.backlog.note(self.now, waits_for_capacity);
+        self.forecast.note_waiting(self.now, waits_for_capacity);
         self.check_drain();
         self.flush();
-        self.note_traffic();
-        std::mem::take(&mut self.out)
+        self.record_traffic();
+        std::mem::take(&mut self.actions)
     }
 
-    /// Notes what goes through this VM's link.
-    fn note_traffic(&mut self) {
-        for action in &self.out {
+    /// Records the bytes sent over this VM's link.
+    fn record_traffic(&mut self) {
+        for action in &self.actions {
             let bytes = match action {
                 EntryAction::Send(_, packet) => packet.rough_bytes(),
-                EntryAction::Reply(..) => ANSWER_BYTES,
+                EntryAction::Reply(..) => REPLY_BYTES,
                 _ => continue,
             };
-            self.link.sent(self.now, bytes);
+            self.link_load.sent(self.now, bytes);
         }
     }
 
-    /// When [`EntryEvent::Wake`] is due.
+    /// Returns when [`EntryEvent::Wake`] is due.
     pub fn next_wake(&self) -> Option<Now> {
         let times = [
-            self.table.next_wake(),
+            self.table.next_deadline(),
             self.directory.next_wake(),
-            self.lost.values().min().copied(),
+            self.lost_agents.values().min().copied(),
             self.drain.next_wake(self.now),
-            self.early.next_wake(),
+            self.deferred.next_wake(),
             self.link_full_until,
         ];
         let soonest = times.into_iter().flatten().min()?;
         Some(soonest.max(self.now + Duration::from_millis(1)))
     }
 
-    /// Whether the balancer should send new connections.
+    /// Returns whether the balancer should send new connections.
     pub fn is_ready(&self) -> bool {
         let has_config = self.directory.config().table().is_some();
-        // Without a target for evacuations alone, callers are best told so at once.
+        // If evacuations are the only reason for a lack of targets, callers get that answer here.
         has_config && !self.drain.has_begun() && self.targets.reachable(self.now) > 0
     }
 
-    /// Whether connections should be given up after their next answer.
+    /// Returns whether connections should be closed after their next reply.
     pub fn is_draining(&self) -> bool {
         self.drain.has_begun()
     }
 
-    /// Figures for the metrics page.
+    /// Returns the gauges for the metrics page.
     pub fn levels(&self) -> EntryLevels {
         EntryLevels {
             batches: self.table.len() as u64,
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Largest body that the configuration allows.
+    /// Returns the largest request body that the configuration allows.
     pub fn body_limit(&self) -> Option<usize> {
         self.directory.config().table().map(|t| t.limits.body_bytes)
     }
@@ -190,34 +190,37 @@
         match event {
             EntryEvent::Wake => self.wake(),
             EntryEvent::Submit(submission) => self.submit(submission),
-            EntryEvent::CallerGone(request) => self.caller_gone(request),
-            EntryEvent::Ask(question) => self.ask(&question),
+            EntryEvent::CallerGone(request) => self.handle_caller_gone(request),
+            EntryEvent::Ask(question) => self.answer_query(&question),
             EntryEvent::Cancel(question) => self.cancel(&question),
             EntryEvent::Config(table) => self.directory.offer_config(self.now, &table, "store"),
             EntryEvent::Evacuations(state) => {
                 if self.directory.store_answered(self.now, &state) {
-                    self.evacuations_changed();
+                    self.apply_evacuations();
                 }
             }
             EntryEvent::Entries(addresses) => self.learn_entries(addresses),
-            EntryEvent::LinkUp(link, dialled) => self.link_up(link, dialled),
+            EntryEvent::LinkUp(link, dialled) => self.handle_link_up(link, dialled),
             EntryEvent::LinkDown(link) => {
-                self.link_down(link);
+                self.handle_link_down(link);
                 self.targets.note_entries(self.directory.entries_a_target());
             }
-            EntryEvent::Packet(link, Packet::FromAgent(packet)) => self.agent_packet(link, packet),
+            EntryEvent::Packet(link, Packet::FromAgent(packet)) => {
+                self.handle_agent_packet(link, packet)
+            }
             EntryEvent::Packet(link, Packet::BetweenEntries(packet)) => {
-                self.peer_packet(link, packet);
+                self.handle_peer_packet(link, packet);
             }
             EntryEvent::Packet(link, Packet::FromEntry(_)) => {
-                self.out.push(EntryAction::Close(link))
+                self.actions.push(EntryAction::Close(link))
             }
             EntryEvent::Drain => self.begin_drain(),
         }
     }
 
     fn log(&mut self, code: EventCode, detail: String) {
-        self.out.push(EntryAction::Log(LogEvent::new(code, detail)));
+        self.actions
+            .push(EntryAction::Log(LogEvent::new(code, detail)));
     }
 
     fn wake(&mut self) {
@@ -226,15 +229,15 @@
         self.directory.close_silent(self.now);
         let before = self.now.saturating_sub(self.options.timings.silent_link);
         for link in self.targets.silent(before) {
-            self.out.push(EntryAction::Close(link));
-            self.link_down(link);
+            self.actions.push(EntryAction::Close(link));
+            self.handle_link_down(link);
         }
     }
 
-    /// Whether targets lack room, as far as is known: what waits then may wait for this VM's link.
-    fn lacks_room(&self) -> bool {
-        let at = self.lacked_room;
-        at.is_some_and(|at| at + ROOM_LACKS_FOR > self.now)
+    /// Returns whether a task recently found no target with free capacity.
+    fn lacks_capacity(&self) -> bool {
+        let at = self.capacity_lacked_at;
+        at.is_some_and(|at| at + CAPACITY_SHORTAGE_TTL > self.now)
     }
 
     // Runs.
@@ -244,38 +247,38 @@
             return;
         }
         self.needs_placing = false;
-        self.refuse_what_came_to_be_hopeless();
-        let ids: Vec<BatchId> = self.table.in_order().collect();
+        self.refuse_unplaceable_batches();
+        let ids: Vec<BatchId> = self.table.in_placement_order().collect();
         let directory = &self.directory;
-        let mut placing = PlacementRound {
+        let mut round = PlacementRound {
             now: self.now,
             hall: &self.options.hall,
             table: &mut self.table,
             targets: &mut self.targets,
-            link: &mut self.link,
+            link: &mut self.link_load,
             rng: &mut self.rng,
             placed: Vec::new(),
-            lacked_room: false,
+            lacked_capacity: false,
         };
         let mut misses = 0;
         for id in ids {
-            if placing.link.full_until(self.now).is_some() {
+            if round.link.full_until(self.now).is_some() {
                 break;
             }
-            let is_held = directory.is_closing_at_peer(self.now, id);
-            if !is_held && !placing.place(id) {
+            let is_blocked = directory.is_closing_at_peer(self.now, id);
+            if !is_blocked && !round.place(id) {
                 misses += 1;
             }
-            if misses >= MOST_MISSES {
+            if misses >= MAX_PLACEMENT_MISSES {
                 break;
             }
         }
-        let placed = placing.placed;
-        // Without any target, what waits is news of targets and not room.
-        if placing.lacked_room && placing.targets.usable(self.now) > 0 {
-            self.lacked_room = Some(self.now);
+        let placed = round.placed;
+        // Without any usable target, tasks wait for targets to be discovered and not for capacity.
+        if round.lacked_capacity && round.targets.usable(self.now) > 0 {
+            self.capacity_lacked_at = Some(self.now);
         }
-        self.link_full_until = self.link.full_until(self.now);
+        self.link_full_until = self.link_load.full_until(self.now);
         for placed in placed {
             self.order_start(placed);
         }
@@ -294,8 +297,8 @@
             return;
         };
         let spec = &batch.steps[step].spec;
-        let window = self.options.timings.start_window.as_millis() as AgentMillis;
-        let start_by = view.agent_clock(self.now) + window;
+        let start_window = self.options.timings.start_window.as_millis() as AgentMillis;
+        let start_by = view.agent_clock(self.now) + start_window;
         self.forecast.note_placed(self.now, runs.len() as u32);
         let order = StartOrder {
             batch: id,
@@ -323,28 +326,28 @@
         }
     }
 
-    fn run_over(&mut self, key: RunKey, over: RunOutcome) {
+    fn handle_run_end(&mut self, key: RunKey, outcome: RunOutcome) {
         let id = key.task.batch;
         self.needs_placing = true;
-        match self.table.run_over(key, over) {
-            BatchNews::None => {}
-            BatchNews::Closed => self.closed(id),
-            BatchNews::Done => {
+        match self.table.end_run(key, outcome) {
+            BatchChange::None => {}
+            BatchChange::Closed => self.finish_closing(id),
+            BatchChange::Done => {
                 if let Some(batch) = self.table.remove(id)
                     && let Some(request) = batch.request
                 {
                     self.answer(id, &batch, request, Reply::Succeeded);
                 }
             }
-            BatchNews::Failed => self.failed(id),
+            BatchChange::Failed => self.fail_batch(id),
         }
     }
 
-    fn settle_lost(&mut self) {
-        let due = self.lost.iter().filter(|(_, at)| **at <= self.now);
+    fn retry_lost_runs(&mut self) {
+        let due = self.lost_agents.iter().filter(|(_, at)| **at <= self.now);
         let due: Vec<NodeName> = due.map(|(agent, _)| agent.clone()).collect();
         for agent in due {
-            self.lost.remove(&agent);
+            self.lost_agents.remove(&agent);
             let keys = self.table.runs_at(&agent);
             let runs = keys.len();
             self.log(
@@ -352,19 +355,19 @@
                 format!("agent={agent} runs={runs} proof=time"),
             );
             for key in keys {
-                self.run_over(key, RunOutcome::Retry { superseded: false });
+                self.handle_run_end(key, RunOutcome::Retry { superseded: false });
             }
         }
     }
 
-    // The end, and packets.
+    // Shutdown and packets.
 
     fn learn_entries(&mut self, addresses: Vec<SocketAddr>) {
-        let fresh = self.directory.learn(self.now, Source::Platform, addresses);
-        self.tell_agents(fresh);
+        let new_entries = self.directory.learn(self.now, Source::Platform, addresses);
+        self.announce_entries(new_entries);
     }
 
-    fn tell_agents(&mut self, entries: Vec<SocketAddr>) {
+    fn announce_entries(&mut self, entries: Vec<SocketAddr>) {
         if entries.is_empty() {
             return;
         }
@@ -373,18 +376,18 @@
         }
     }
 
-    fn peer_packet(&mut self, link: SessionId, packet: PeerPacket) {
+    fn handle_peer_packet(&mut self, link: SessionId, packet: PeerPacket) {
         let effects = self.directory.packet(self.now, link, packet);
         self.targets.note_entries(self.directory.entries_a_target());
-        self.tell_agents(effects.entries);
+        self.announce_entries(effects.entries);
         self.needs_placing |= effects.may_place;
         if effects.evacuations_changed {
-            self.evacuations_changed();
+            self.apply_evacuations();
         }
     }
 
-    /// Obeys other evacuations from now on, and has the agents obey them.
-    fn evacuations_changed(&mut self) {
+    /// Applies changed evacuations, and sends them to the agents.
+    fn apply_evacuations(&mut self) {
         let state = self.directory.evacuations().clone();
         self.targets.note_evacuations(&state);
         for outbox in self.outboxes.values_mut() {
@@ -412,9 +415,9 @@
             EventCode::DrainCut
         };
         self.log(code, format!("held={held}"));
-        self.give_up_all();
+        self.answer_open_requests();
         self.flush();
-        self.out.push(EntryAction::Exit);
+        self.actions.push(EntryAction::Exit);
         self.exited = true;
     }
 
@@ -425,6 +428,6 @@
             self.send_orders(link);
         }
         let shared = self.directory.flush(self.now);
-        self.out.extend(shared);
+        self.actions.extend(shared);
     }
 }
--- a/lib/src/batch_entry/agents.rs
+++ b/lib/src/batch_entry/agents.rs
@@ -1,4 +1,4 @@
-//! Agents: their links and packets, and what the outcome of a run means.
+//! Handles the agents' links and packets, and applies the outcomes of runs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,75 +17,75 @@
 use crate::target_health::HealthReport;
 use crate::target_registry::{EjectionChange, LoadReport, Need, StartRefusal};
 
-/// A slow run is moved if the move takes less than this share of what it still needs.
-const MOVE_GAIN: f64 = 0.7;
-/// What a move costs on top of the work: a stop, its news and an order.
+/// A slow run is moved if running it elsewhere takes less than this share of its remaining time.
+const MOVE_THRESHOLD: f64 = 0.7;
+/// Overhead of a move: the stop, its report and a new start order.
 const MOVE_COST: Duration = Duration::from_millis(25);
-/// Waiting tasks are counted up to this for agents.
-const MOST_COUNTED: u32 = 1_000;
+/// Upper bound on the number of waiting tasks reported to agents.
+const MAX_REPORTED_WAITING: u32 = 1_000;
 
 impl BatchEntryCore {
-    pub(super) fn link_up(&mut self, link: SessionId, dialled: Option<SocketAddr>) {
+    pub(super) fn handle_link_up(&mut self, link: SessionId, dialled: Option<SocketAddr>) {
         if let Some(address) = dialled {
             self.directory.greet(self.now, link, address);
         }
     }
 
-    pub(super) fn link_down(&mut self, link: SessionId) {
+    pub(super) fn handle_link_down(&mut self, link: SessionId) {
         self.directory.link_down(self.now, link);
         self.outboxes.remove(&link);
         let Some(view) = self.targets.leave(link) else {
             return;
         };
-        let out = self.table.runs_at(&view.agent).len();
+        let runs = self.table.runs_at(&view.agent).len();
         let silent_ms = self.now.saturating_sub(view.heard).as_millis();
         let agent = view.agent;
         self.log(
             EventCode::AgentLost,
-            format!("agent={agent} runs={out} heard_ms_ago={silent_ms}"),
+            format!("agent={agent} runs={runs} heard_ms_ago={silent_ms}"),
         );
-        if out > 0 {
-            self.lost
+        if runs > 0 {
+            self.lost_agents
                 .insert(agent, view.sent + self.options.timings.lost_proof);
         }
     }
 
-    pub(super) fn agent_packet(&mut self, link: SessionId, packet: AgentPacket) {
+    pub(super) fn handle_agent_packet(&mut self, link: SessionId, packet: AgentPacket) {
         for news in &packet.news {
             if let AgentNews::Hello(intro) = news {
-                self.agent_joined(link, intro.clone(), packet.clock);
+                self.handle_hello(link, intro.clone(), packet.clock);
             }
         }
-        let word = LoadReport {
+        let report = LoadReport {
             clock: packet.clock,
             free: packet.free,
             starts_seen: packet.starts_seen,
             health: packet.health,
         };
-        let verdict = self.targets.heard(self.now, link, word);
-        self.log_ejection_change(link, verdict, packet.health);
+        let change = self.targets.heard(self.now, link, report);
+        self.log_ejection_change(link, change, packet.health);
         self.needs_placing |= self.table.has_waiting();
         for news in packet.news {
-            self.agent_news(link, news);
+            self.handle_news(link, news);
         }
         let answer_after = self.options.timings.answer_after();
-        let is_quiet = self
+        let is_reply_due = self
             .targets
             .get(link)
             .is_some_and(|v| v.sent + answer_after <= self.now);
-        if is_quiet {
+        if is_reply_due {
             self.send_orders(link);
         }
     }
 
-    pub(super) fn agent_joined(
+    pub(super) fn handle_hello(
         &mut self,
         link: SessionId,
         intro: crate::run_message::AgentIntro,
         clock: AgentMillis,
     ) {
         if let Some(old) = self.targets.link_of(&intro.name) {
-            self.out.push(EntryAction::Close(old));
+            self.actions.push(EntryAction::Close(old));
             self.targets.leave(old);
             self.outboxes.remove(&old);
         }
@@ -105,15 +105,15 @@
             EventCode::AgentJoined,
             format!("agent={} life={:x} claims={count}", intro.name, intro.life),
         );
-        self.lost.remove(&intro.name);
+        self.lost_agents.remove(&intro.name);
         self.targets.join(self.now, link, intro.name, intro.hall);
-        let word = LoadReport {
+        let report = LoadReport {
             clock,
             free: Resources::NONE,
             starts_seen: 0,
             health: HealthReport::default(),
         };
-        self.targets.heard(self.now, link, word);
+        self.targets.heard(self.now, link, report);
         let welcome = Welcome {
             name: self.options.name.clone(),
             life: self.options.incarnation,
@@ -125,14 +125,14 @@
             orders: vec![Order::Welcome(welcome)],
             entries: Vec::new(),
         };
-        // An order to stop may have been lost with the link before.
+        // A stop order may have been lost with the previous link.
         if !stopping.is_empty() {
             outbox.orders.push(Order::Stop(stopping));
         }
         self.outboxes.insert(link, outbox);
     }
 
-    pub(super) fn agent_news(&mut self, link: SessionId, news: AgentNews) {
+    pub(super) fn handle_news(&mut self, link: SessionId, news: AgentNews) {
         match news {
             AgentNews::Hello(_) => {}
             AgentNews::Target(info) => {
@@ -140,13 +140,13 @@
                     view.info = info;
                 }
             }
-            AgentNews::Ended { key, end, ran_ms } => self.run_ended(link, key, end, ran_ms),
-            AgentNews::NotStarted { key, reason } => self.run_not_started(link, key, reason),
+            AgentNews::Ended { key, end, ran_ms } => self.handle_ended(link, key, end, ran_ms),
+            AgentNews::NotStarted { key, reason } => self.handle_not_started(link, key, reason),
             AgentNews::Slow {
                 key,
                 ran_ms,
                 percent,
-            } => self.run_slow(link, key, ran_ms, percent),
+            } => self.handle_slow(link, key, ran_ms, percent),
             AgentNews::Leaving => {
                 if let Some(view) = self.targets.get_mut(link) {
                     view.is_leaving = true;
@@ -163,8 +163,8 @@
         (step.spec.estimate > Duration::ZERO).then_some(step.spec.estimate)
     }
 
-    pub(super) fn run_ended(&mut self, link: SessionId, key: RunKey, end: RunEnd, ran_ms: u32) {
-        let over = match end {
+    pub(super) fn handle_ended(&mut self, link: SessionId, key: RunKey, end: RunEnd, ran_ms: u32) {
+        let outcome = match end {
             RunEnd::Done => RunOutcome::Done,
             RunEnd::Failed => RunOutcome::Failed,
             RunEnd::Crashed { alone } => RunOutcome::Crashed { alone },
@@ -172,7 +172,7 @@
                 RunOutcome::Retry { superseded: false }
             }
         };
-        if over != RunOutcome::Done {
+        if outcome != RunOutcome::Done {
             let agent = self.targets.get(link).map(|v| v.agent.clone());
             let agent = agent.as_deref().unwrap_or("-");
             self.log(
@@ -183,15 +183,15 @@
         if let RunEnd::Crashed { alone } = end {
             self.log_crash(link, key, alone);
         }
-        self.run_over(key, over);
+        self.handle_run_end(key, outcome);
     }
 
-    /// Names the task of a run that a target crashed with, for whoever looks for the cause.
+    /// Logs the task of a run that was open when its target crashed.
     fn log_crash(&mut self, link: SessionId, key: RunKey, alone: bool) {
-        let Some(mut record) = self.table.task(key).map(|task| task.crashes) else {
+        let Some(mut history) = self.table.task(key).map(|task| task.crashes) else {
             return;
         };
-        let is_given_up = record.note(alone);
+        let is_given_up = history.record(alone);
         let code = if is_given_up {
             EventCode::TaskGivenUp
         } else {
@@ -199,14 +199,14 @@
         };
         let agent = self.targets.get(link).map(|v| v.agent.clone());
         let agent = agent.as_deref().unwrap_or("-");
-        let crashes = record.crashes();
+        let crashes = history.crashes();
         self.log(
             code,
             format!("run={key} agent={agent} alone={alone} crashes={crashes}"),
         );
     }
 
-    pub(super) fn run_not_started(&mut self, link: SessionId, key: RunKey, reason: NotStarted) {
+    pub(super) fn handle_not_started(&mut self, link: SessionId, key: RunKey, reason: NotStarted) {
         let agent = self.targets.get(link).map(|v| v.agent.clone());
         let agent = agent.as_deref().unwrap_or("-");
         self.log(
@@ -224,16 +224,16 @@
             _ => {}
         }
         let superseded = reason == NotStarted::Superseded;
-        self.run_over(key, RunOutcome::Retry { superseded });
+        self.handle_run_end(key, RunOutcome::Retry { superseded });
     }
 
     pub(super) fn log_ejection_change(
         &mut self,
         link: SessionId,
-        verdict: EjectionChange,
+        change: EjectionChange,
         health: HealthReport,
     ) {
-        let code = match verdict {
+        let code = match change {
             EjectionChange::Unchanged => return,
             EjectionChange::Ejected => EventCode::TargetSetAside,
             EjectionChange::Readmitted => EventCode::TargetReturned,
@@ -244,17 +244,17 @@
         }
     }
 
-    /// Moves a slow run if another target would end it sooner, the stop counted.
-    pub(super) fn run_slow(&mut self, link: SessionId, key: RunKey, ran_ms: u32, percent: u32) {
+    /// Moves a slow run if another target would finish it sooner, including the cost of the move.
+    pub(super) fn handle_slow(&mut self, link: SessionId, key: RunKey, ran_ms: u32, percent: u32) {
         let Some(estimate) = self.estimate_of(key) else {
             return;
         };
         let ran = Duration::from_millis(u64::from(ran_ms));
         let percent = percent.clamp(1, 100);
-        let whole = ran.mul_f64(100.0 / f64::from(percent));
-        let rest = whole.saturating_sub(ran);
-        let elsewhere = estimate + MOVE_COST;
-        if elsewhere > rest.mul_f64(MOVE_GAIN) {
+        let projected = ran.mul_f64(100.0 / f64::from(percent));
+        let remaining = projected.saturating_sub(ran);
+        let elsewhere_cost = estimate + MOVE_COST;
+        if elsewhere_cost > remaining.mul_f64(MOVE_THRESHOLD) {
             return;
         }
         let Some(agent) = self.targets.get(link).map(|v| v.agent.clone()) else {
@@ -267,14 +267,14 @@
             return;
         }
         let step = &mut batch.steps[usize::from(key.task.step)];
-        let is_estimate_wrong = step.is_slow_everywhere(&agent, whole);
+        let is_estimate_wrong = step.is_slow_everywhere(&agent, projected);
         if is_estimate_wrong && !self.targets.is_ejected(self.now, link) {
             return;
         }
-        if !self.has_room_elsewhere(key, &agent) {
+        if !self.has_capacity_elsewhere(key, &agent) {
             return;
         }
-        if let Some(agent) = self.table.note_moving(key) {
+        if let Some(agent) = self.table.mark_moving(key) {
             self.log(
                 EventCode::TaskMoved,
                 format!("run={key} agent={agent} ran_ms={ran_ms} percent={percent}"),
@@ -283,7 +283,7 @@
         }
     }
 
-    pub(super) fn has_room_elsewhere(&mut self, key: RunKey, agent: &NodeName) -> bool {
+    pub(super) fn has_capacity_elsewhere(&mut self, key: RunKey, agent: &NodeName) -> bool {
         let Some(batch) = self.table.get(key.task.batch) else {
             return false;
         };
@@ -298,16 +298,16 @@
             payload_cost: 0.0,
             is_idle: false,
         };
-        let is_same = |view: &crate::target_registry::TargetView| view.agent == *agent;
+        let is_current = |view: &crate::target_registry::TargetView| view.agent == *agent;
         let hall = &self.options.hall;
         let chosen = self
             .targets
-            .choose(self.now, &need, hall, is_same, &mut self.rng);
+            .choose(self.now, &need, hall, is_current, &mut self.rng);
         chosen.is_some()
     }
 
     pub(super) fn order_stop(&mut self, key: RunKey, agent: &str) {
-        // Without a link the agent's own rules stop it: the entry's lease there runs out.
+        // Without a link, the agent stops the run itself when the entry's lease lapses.
         let Some(link) = self.targets.link_of(agent) else {
             return;
         };
@@ -318,13 +318,13 @@
 
     pub(super) fn send_orders(&mut self, link: SessionId) {
         let now = self.now;
-        // What waits for this VM's own link could not use a place if it were told of one.
+        // Tasks that wait for this VM's own link couldn't use a reservation.
         let waiting = if self.link_full_until.is_some() {
             0
         } else {
             self.table.waiting_tasks()
         };
-        let waiting = waiting.min(MOST_COUNTED);
+        let waiting = waiting.min(MAX_REPORTED_WAITING);
         let (Some(outbox), Some(view)) = (self.outboxes.get_mut(&link), self.targets.get_mut(link))
         else {
             return;
@@ -346,7 +346,7 @@
             waiting,
             orders: std::mem::take(&mut outbox.orders),
         };
-        self.out
+        self.actions
             .push(EntryAction::Send(link, Packet::FromEntry(packet)));
     }
 }
--- a/lib/src/batch_entry/callers.rs
+++ b/lib/src/batch_entry/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: what is taken in, and what each of them hears.
+//! Handles callers' requests: admits or refuses batches, and sends the replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,46 +15,45 @@
 use crate::run::BatchId;
 use crate::wait_forecast;
 
-/// How much longer than estimated work may take on the slowest sound targets. What the objective
-/// leaves beyond that is a batch's slack; what waits longer would be late and make others late.
-const SLOWEST_SOUND: f64 = 1.25;
-/// The same while no target can be had: agents find an entry that has just started within this.
-const WAIT_FOR_TARGETS: Duration = Duration::from_millis(500);
-/// A batch that waits for this VM's own link, and not for room, is not refused when its slack is
-/// spent, but asked again after this long: its targets are free, and it is served late.
-const WAIT_FOR_LINK: Duration = Duration::from_millis(50);
-/// When to come back if nothing better is known: a configuration or a target is found by then.
-const RETRY_USUAL: Duration = Duration::from_millis(500);
-/// When to come back if every target is evacuated: operators take a hall back after several seconds
-/// at the soonest, and all entries know of it within a few hundred milliseconds.
-const RETRY_EVACUATED: Duration = Duration::from_secs(2);
+/// Run time relative to the estimate on the slowest healthy targets. The rest of the objective is
+/// the batch's slack. A batch that waits longer than its slack would be late and delay others.
+const SLOWEST_HEALTHY_FACTOR: f64 = 1.25;
+/// Shortest wait for placement while no target is usable. Agents discover a new entry within it.
+const MIN_WAIT_WITHOUT_TARGETS: Duration = Duration::from_millis(500);
+/// Extension of the placement deadline of a batch that waits only for this VM's own link. Such a
+/// batch isn't refused when its slack is spent: targets are free, and it is served late.
+const LINK_WAIT_EXTENSION: Duration = Duration::from_millis(50);
+/// Default retry time. A configuration or a target is usually found by then.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Retry time if every target is evacuated. An evacuation lasts at least several seconds.
+const EVACUATED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl BatchEntryCore {
-    pub(super) fn queue_of(&self, host: &str, path: &str) -> Result<Arc<Queue>, Reply> {
+    pub(super) fn find_queue(&self, host: &str, path: &str) -> Result<Arc<Queue>, Reply> {
         let Some(table) = self.directory.config().table() else {
-            return Err(refused(Refusal::NoConfig));
+            return Err(refusal(Refusal::NoConfig));
         };
         table.find(host, path).cloned().ok_or(Reply::NoQueue)
     }
 
     pub(super) fn submit(&mut self, submission: Submission) {
         let has_config = self.directory.config().table().is_some();
-        if !has_config && self.early.has_room() {
-            self.early.hold(self.now, submission);
+        if !has_config && self.deferred.has_capacity() {
+            self.deferred.hold(self.now, submission);
         } else {
             self.admit_or_refuse(submission);
         }
     }
 
-    /// Takes in what came before the first configuration, or refuses it after a moment.
+    /// Admits the batches that arrived before the first configuration; refuses those that expired.
     pub(super) fn settle_deferred(&mut self) {
         let has_config = self.directory.config().table().is_some();
-        let settled = if has_config {
-            self.early.take_all()
+        let ready = if has_config {
+            self.deferred.take_all()
         } else {
-            self.early.take_expired(self.now)
+            self.deferred.take_expired(self.now)
         };
-        for submission in settled {
+        for submission in ready {
             self.admit_or_refuse(submission);
         }
     }
@@ -73,7 +72,7 @@
                         "job={id:016x} request={caller_request} config={version} answer={reply:?}"
                     ),
                 );
-                self.out.push(EntryAction::Reply(request, reply));
+                self.actions.push(EntryAction::Reply(request, reply));
             }
         }
     }
@@ -87,19 +86,19 @@
             patience,
             caller_request,
         } = submission;
-        let queue = self.queue_of(&host, &path)?;
+        let queue = self.find_queue(&host, &path)?;
         if let Some(unsupported) = spec.unsupported {
-            return Err(refused(Refusal::Unsupported(unsupported)));
+            return Err(refusal(Refusal::Unsupported(unsupported)));
         }
         if queue.needs_advice {
-            return Err(refused(Refusal::Unsupported(Unsupported::Advice)));
+            return Err(refusal(Refusal::Unsupported(Unsupported::Advice)));
         }
         if self.targets.is_evacuated(self.now, &queue.service) {
-            return Err(refused(Refusal::Evacuated));
+            return Err(refusal(Refusal::Evacuated));
         }
-        let chain = spec.longest_chain();
-        if self.drain.would_be_outlasted(self.now, chain) {
-            return Err(refused(Refusal::Draining));
+        let critical_path = spec.critical_path();
+        if self.drain.would_exceed_limit(self.now, critical_path) {
+            return Err(refusal(Refusal::Draining));
         }
         if let Some(table) = self.directory.config().table() {
             self.retry_detector.forget_unconfigured(&table.queues);
@@ -108,11 +107,11 @@
         let is_retry = self
             .retry_detector
             .is_retry(&queue.name, patience, caller_return);
-        let times = self.times_of(&spec, &queue, patience, is_retry);
+        let times = self.batch_times(&spec, &queue, patience, is_retry);
         if self.table.get(spec.id).is_some() {
-            return self.admit_again(&spec, request, times, &caller_request);
+            return self.resubmit(&spec, request, times, &caller_request);
         }
-        self.refuse_hopeless(&spec, times)?;
+        self.refuse_if_unplaceable(&spec, times)?;
         let tasks: u32 = spec.steps.iter().map(|s| s.count).sum();
         let due_ms = (times.due - times.arrived).as_millis();
         let usable = self.targets.usable(self.now);
@@ -134,33 +133,33 @@
         Ok(())
     }
 
-    /// Refuses a batch that would still wait for room at its last useful moment.
-    fn refuse_hopeless(&mut self, spec: &BatchSpec, times: BatchTimes) -> Result<(), Reply> {
-        let turn = PlacementOrder {
+    /// Refuses a batch if it would still wait for capacity at its latest useful start.
+    fn refuse_if_unplaceable(&mut self, spec: &BatchSpec, times: BatchTimes) -> Result<(), Reply> {
+        let order = PlacementOrder {
             is_overdue: times.is_overdue,
             due: times.due,
         };
-        let own: u32 = spec.steps.iter().map(|s| s.count).sum();
-        let ahead = self.table.waiting_before(turn);
-        let Some(wait) = self.forecast.wait_for(self.now, ahead + own) else {
+        let own_tasks: u32 = spec.steps.iter().map(|s| s.count).sum();
+        let tasks_ahead = self.table.waiting_before(order);
+        let Some(wait) = self.forecast.wait_for(self.now, tasks_ahead + own_tasks) else {
             return Ok(());
         };
-        let last_useful = times.in_time_until.min(times.caller_deadline);
-        let allowance = last_useful.saturating_sub(self.now);
-        if wait <= allowance {
+        let latest_start = times.in_time_until.min(times.caller_deadline);
+        let max_wait = latest_start.saturating_sub(self.now);
+        if wait <= max_wait {
             return Ok(());
         }
-        Err(self.busy_for(wait.saturating_sub(allowance)))
+        Err(self.busy_reply_after(wait.saturating_sub(max_wait)))
     }
 
-    /// Says that there is no room, and when there may be: once what waits now has been placed.
-    fn busy(&mut self) -> Reply {
+    /// Returns a busy reply with a retry time at which all waiting tasks should have been placed.
+    fn busy_reply(&mut self) -> Reply {
         let waiting = self.table.waiting_tasks();
         let wait = self.forecast.wait_for(self.now, waiting);
-        self.busy_for(wait.unwrap_or(RETRY_USUAL))
+        self.busy_reply_after(wait.unwrap_or(DEFAULT_RETRY_AFTER))
     }
 
-    fn busy_for(&mut self, pause: Duration) -> Reply {
+    fn busy_reply_after(&mut self, pause: Duration) -> Reply {
         let chance = self.rng.random_range(0.0..1.0);
         Reply::Refused {
             why: Refusal::Busy,
@@ -168,14 +167,14 @@
         }
     }
 
-    /// Refuses batches of which nothing has begun and whose own tasks can't all be placed in time
-    /// any more, even if they were next. Begun, they would end late and make others late.
-    pub(super) fn refuse_what_came_to_be_hopeless(&mut self) {
+    /// Refuses undispatched batches whose tasks can't all be placed in time any more, even if they
+    /// came next. If started, they would be late and delay others.
+    pub(super) fn refuse_unplaceable_batches(&mut self) {
         if self.forecast.wait_for(self.now, 1).is_none() {
             return;
         }
-        let mut hopeless = Vec::new();
-        for id in self.table.in_order() {
+        let mut unplaceable = Vec::new();
+        for id in self.table.in_placement_order() {
             let Some(batch) = self
                 .table
                 .get(id)
@@ -184,20 +183,20 @@
                 continue;
             };
             let left = batch.in_time_until.saturating_sub(self.now);
-            let own = batch.waiting_tasks();
-            let wait = self.forecast.wait_for(self.now, own);
+            let own_tasks = batch.waiting_tasks();
+            let wait = self.forecast.wait_for(self.now, own_tasks);
             if wait.is_some_and(|wait| wait > left) {
-                hopeless.push(id);
+                unplaceable.push(id);
             }
         }
-        for id in hopeless {
+        for id in unplaceable {
             self.close(id, CloseReason::Deadline);
         }
     }
 
-    /// Refuses batches of which nothing has begun and whose targets are all evacuated.
+    /// Refuses undispatched batches whose targets are all evacuated.
     pub(super) fn refuse_evacuated(&mut self) {
-        let waiting: Vec<BatchId> = self.table.in_order().collect();
+        let waiting: Vec<BatchId> = self.table.in_placement_order().collect();
         for id in waiting {
             let Some(batch) = self.table.get(id).filter(|b| !b.was_dispatched) else {
                 continue;
@@ -208,9 +207,9 @@
         }
     }
 
-    /// The same batch again: the caller's connection broke, and what ran of it may not be over
-    /// yet. Its tasks go on from where they are.
-    pub(super) fn admit_again(
+    /// Attaches a resubmitted batch to its existing state: the caller's connection broke, and its
+    /// runs may still be open. Its tasks keep their progress.
+    pub(super) fn resubmit(
         &mut self,
         spec: &BatchSpec,
         request: RequestId,
@@ -220,7 +219,7 @@
         let id = spec.id;
         let before = self.table.take_request(id);
         if let Some(before) = before {
-            self.out.push(EntryAction::Reply(before, Reply::GaveUp));
+            self.actions.push(EntryAction::Reply(before, Reply::GaveUp));
         }
         self.log(
             EventCode::BatchAdmitted,
@@ -231,7 +230,7 @@
         Ok(())
     }
 
-    pub(super) fn times_of(
+    pub(super) fn batch_times(
         &self,
         spec: &BatchSpec,
         queue: &Queue,
@@ -239,20 +238,20 @@
         is_retry: bool,
     ) -> BatchTimes {
         let arrived = self.now;
-        let chain = spec.longest_chain();
-        let objective = chain.mul_f64(queue.stretch) + queue.target_latency;
-        let slack = objective.saturating_sub(chain.mul_f64(SLOWEST_SOUND));
-        let mut wait = self.standing.allowance(arrived, slack);
+        let critical_path = spec.critical_path();
+        let objective = critical_path.mul_f64(queue.stretch) + queue.target_latency;
+        let slack = objective.saturating_sub(critical_path.mul_f64(SLOWEST_HEALTHY_FACTOR));
+        let mut wait = self.backlog.allowance(arrived, slack);
         if self.targets.usable(self.now) == 0 {
-            wait = wait.max(WAIT_FOR_TARGETS);
+            wait = wait.max(MIN_WAIT_WITHOUT_TARGETS);
         }
         let age = if is_retry {
             self.options.timings.caller_return
         } else {
             Duration::ZERO
         };
-        // What starts later than this can't be answered before the caller leaves.
-        let last_start = patience.saturating_sub(chain);
+        // A batch that starts later can't be answered before the caller leaves.
+        let last_start = patience.saturating_sub(critical_path);
         let left = objective.saturating_sub(age);
         let is_overdue = left.is_zero();
         BatchTimes {
@@ -265,11 +264,11 @@
         }
     }
 
-    pub(super) fn caller_gone(&mut self, request: RequestId) {
-        if self.early.forget(request) {
+    pub(super) fn handle_caller_gone(&mut self, request: RequestId) {
+        if self.deferred.remove(request) {
             return;
         }
-        let Some(id) = self.table.of_request(request) else {
+        let Some(id) = self.table.find_by_request(request) else {
             return;
         };
         self.table.take_request(id);
@@ -284,18 +283,19 @@
         }
     }
 
-    pub(super) fn ask(&mut self, question: &Question) {
-        let reply = match self.queue_of(&question.host, &question.path) {
+    pub(super) fn answer_query(&mut self, question: &Question) {
+        let reply = match self.find_queue(&question.host, &question.path) {
             Err(reply) => reply,
             Ok(queue) => match question.batch {
                 None => Reply::Pending(self.table.pending(&queue.name)),
-                Some(id) => self.state_of(id),
+                Some(id) => self.batch_state_reply(id),
             },
         };
-        self.out.push(EntryAction::Reply(question.request, reply));
+        self.actions
+            .push(EntryAction::Reply(question.request, reply));
     }
 
-    pub(super) fn state_of(&self, id: BatchId) -> Reply {
+    pub(super) fn batch_state_reply(&self, id: BatchId) -> Reply {
         match self.table.get(id) {
             None => Reply::NoBatch,
             Some(batch) if batch.was_dispatched => Reply::Running,
@@ -306,7 +306,7 @@
     pub(super) fn cancel(&mut self, question: &Question) {
         let id = question.batch.filter(|id| self.table.get(*id).is_some());
         let Some(id) = id else {
-            self.out
+            self.actions
                 .push(EntryAction::Reply(question.request, Reply::NoBatch));
             return;
         };
@@ -315,26 +315,27 @@
             format!("job={id:016x} why=cancelled"),
         );
         if let Some(request) = self.table.take_request(id) {
-            self.out.push(EntryAction::Reply(request, Reply::Cancelled));
+            self.actions
+                .push(EntryAction::Reply(request, Reply::Cancelled));
         }
         self.close(id, CloseReason::Cancelled);
-        self.out
+        self.actions
             .push(EntryAction::Reply(question.request, Reply::Cancelled));
     }
 
-    /// Stops what runs of a batch and starts nothing more of it.
+    /// Closes a batch: stops its open runs and starts no others.
     pub(super) fn close(&mut self, id: BatchId, reason: CloseReason) {
         let stops = self.table.close(id, reason);
         for (key, agent) in stops {
             self.order_stop(key, &agent);
         }
         if self.table.get(id).is_some_and(|b| b.open_runs == 0) {
-            self.closed(id);
+            self.finish_closing(id);
         }
     }
 
-    /// A batch that is not wanted has nothing out any more.
-    pub(super) fn closed(&mut self, id: BatchId) {
+    /// Removes a closed batch without open runs and answers its request.
+    pub(super) fn finish_closing(&mut self, id: BatchId) {
         let Some(batch) = self.table.remove(id) else {
             return;
         };
@@ -343,55 +344,56 @@
         }
         if let Some(request) = batch.request {
             let reply = if batch.crashes_targets() {
-                // Not to be tried anew elsewhere: it would take targets along there.
+                // The caller must not retry elsewhere: the batch would crash targets there too.
                 Reply::Failed
             } else if batch.was_dispatched {
                 Reply::GaveUp
             } else if batch.state == BatchState::Closing(CloseReason::Evacuated) {
-                refused(Refusal::Evacuated)
+                refusal(Refusal::Evacuated)
             } else {
-                self.busy()
+                self.busy_reply()
             };
             self.answer(id, &batch, request, reply);
         }
     }
 
     pub(super) fn answer(&mut self, id: BatchId, batch: &Batch, request: RequestId, reply: Reply) {
-        let took = self.now.saturating_sub(batch.arrived).as_millis() as u64;
+        let took_ms = self.now.saturating_sub(batch.arrived).as_millis() as u64;
         let objective = batch.due.saturating_sub(batch.arrived).as_millis() as u64;
         let queue = &batch.queue.name;
         let usable = self.targets.usable(self.now);
         self.log(
             EventCode::BatchAnswered,
             format!(
-                "job={id:016x} queue={queue} answer={reply:?} took_ms={took} \
+                "job={id:016x} queue={queue} answer={reply:?} took_ms={took_ms} \
                  objective_ms={objective} tried={} targets={usable}",
                 batch.was_dispatched
             ),
         );
         if reply == Reply::Succeeded {
-            self.out.push(EntryAction::Measured(took, objective));
+            self.actions.push(EntryAction::Measured(took_ms, objective));
         }
-        self.out.push(EntryAction::Reply(request, reply));
+        self.actions.push(EntryAction::Reply(request, reply));
     }
 
-    /// A task has used up its attempts. The caller hears it at once; the rest is stopped.
-    pub(super) fn failed(&mut self, id: BatchId) {
+    /// Answers a failed batch at once, and stops its other runs.
+    pub(super) fn fail_batch(&mut self, id: BatchId) {
         let request = self.table.take_request(id);
         if let (Some(request), Some(batch)) = (request, self.table.get(id)) {
-            let took = self.now.saturating_sub(batch.arrived).as_millis();
+            let took_ms = self.now.saturating_sub(batch.arrived).as_millis();
             let queue = batch.queue.name.clone();
             self.log(
                 EventCode::BatchAnswered,
-                format!("job={id:016x} queue={queue} answer=Failed took_ms={took}"),
+                format!("job={id:016x} queue={queue} answer=Failed took_ms={took_ms}"),
             );
-            self.out.push(EntryAction::Reply(request, Reply::Failed));
+            self.actions
+                .push(EntryAction::Reply(request, Reply::Failed));
         }
         self.close(id, CloseReason::Failed);
     }
 
-    pub(super) fn end_due_batches(&mut self) {
-        for id in self.table.take_woken(self.now) {
+    pub(super) fn handle_batch_deadlines(&mut self) {
+        for id in self.table.take_due(self.now) {
             let Some(batch) = self.table.get(id) else {
                 continue;
             };
@@ -399,44 +401,45 @@
                 continue;
             }
             if batch.caller_deadline <= self.now {
-                let out = batch.open_runs;
+                let open_runs = batch.open_runs;
                 self.log(
                     EventCode::BatchClosed,
-                    format!("job={id:016x} why=deadline out={out}"),
+                    format!("job={id:016x} why=deadline out={open_runs}"),
                 );
                 self.close(id, CloseReason::Deadline);
             } else if batch.placement_deadline <= self.now && !batch.was_dispatched {
-                if self.link_full_until.is_some() && !self.lacks_room() {
-                    self.table.postpone(id, self.now + WAIT_FOR_LINK);
+                if self.link_full_until.is_some() && !self.lacks_capacity() {
+                    self.table.postpone(id, self.now + LINK_WAIT_EXTENSION);
                 } else {
                     self.close(id, CloseReason::Deadline);
                 }
             } else if batch.in_time_until <= self.now && !batch.was_dispatched {
-                self.table.note_overdue(id);
+                self.table.mark_overdue(id);
             }
         }
     }
 
-    /// Answers whoever still waits, so that no connection ends without an answer. Agents stop what
-    /// runs within half a second of this process's end.
-    pub(super) fn give_up_all(&mut self) {
-        for submission in self.early.take_all() {
+    /// Answers all open requests, so that no connection ends without a reply. Agents stop the open
+    /// runs within half a second of this process's exit.
+    pub(super) fn answer_open_requests(&mut self) {
+        for submission in self.deferred.take_all() {
             self.admit_or_refuse(submission);
         }
         for id in self.table.ids() {
             if let Some(request) = self.table.take_request(id) {
-                self.out.push(EntryAction::Reply(request, Reply::GaveUp));
+                self.actions
+                    .push(EntryAction::Reply(request, Reply::GaveUp));
             }
         }
     }
 }
 
-fn refused(why: Refusal) -> Reply {
+fn refusal(why: Refusal) -> Reply {
     let retry_after = match why {
         Refusal::Unsupported(_) => None,
-        Refusal::NoConfig | Refusal::Busy => Some(RETRY_USUAL),
-        Refusal::Evacuated => Some(RETRY_EVACUATED),
-        // The balancer has other entries, which may be tried at once.
+        Refusal::NoConfig | Refusal::Busy => Some(DEFAULT_RETRY_AFTER),
+        Refusal::Evacuated => Some(EVACUATED_RETRY_AFTER),
+        // The caller may retry at once: the balancer sends it to another entry.
         Refusal::Draining => Some(Duration::ZERO),
     };
     Reply::Refused { why, retry_after }
--- a/lib/src/batch_event.rs
+++ b/lib/src/batch_event.rs
@@ -1,7 +1,7 @@
-//! What the entry's core on the platform is told and what it wants done.
+//! Events and actions of the entry's core on the platform.
 //!
-//! Each request gets exactly one reply, unless [`EntryEvent::CallerGone`] is told first or the
-//! process ends. Actions are carried out in order; each may fail without an answer.
+//! Each request gets exactly one reply, unless [`EntryEvent::CallerGone`] comes first or the
+//! process ends. Actions are carried out in order. Each may fail without notice to the core.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,133 +17,133 @@
 use crate::run_message::Packet;
 use crate::timings::Timings;
 
-/// What an entry is told at start.
+/// Options of an entry, set at start.
 #[derive(Debug, Clone)]
 pub struct EntryOptions {
-    /// Name of the VM's process.
+    /// Name of the entry's process.
     pub name: NodeName,
-    /// This life.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Data hall.
+    /// Data hall of the entry.
     pub hall: HallName,
-    /// Address of its links.
+    /// Address on which it accepts links.
     pub address: SocketAddr,
     /// Entries to dial at start.
     pub seeds: Vec<SocketAddr>,
-    /// Seed of all random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// The chain of times.
+    /// Timeouts and intervals.
     pub timings: Timings,
-    /// What the VM's link carries, in bytes a second; none if it is not known.
+    /// Rate of the VM's network link in bytes per second, if known.
     pub link_rate: Option<ByteRate>,
 }
 
-/// A batch as it arrives.
+/// A batch as it arrives from a caller.
 #[derive(Debug, Clone)]
 pub struct Submission {
-    /// Whom to answer.
+    /// Request to answer.
     pub request: RequestId,
-    /// Host that the caller named.
+    /// Host named in the request.
     pub host: String,
-    /// Path that the caller named.
+    /// Path named in the request.
     pub path: String,
-    /// The batch.
+    /// The submitted batch.
     pub spec: BatchSpec,
-    /// How long the caller waits.
+    /// How long the caller waits for an answer.
     pub patience: Duration,
-    /// The caller's own id of its request, for the log; empty if it gave none.
+    /// The caller's id of its request, for the log; empty if it gave none.
     pub caller_request: Arc<str>,
 }
 
-/// A caller's question about a queue or a batch.
+/// A caller's query about a queue or a batch, or its request to cancel a batch.
 #[derive(Debug, Clone)]
 pub struct Question {
-    /// Whom to answer.
+    /// Request to answer.
     pub request: RequestId,
-    /// Host that the caller named.
+    /// Host named in the request.
     pub host: String,
-    /// Path that the caller named.
+    /// Path named in the request.
     pub path: String,
-    /// The batch; none if the question is about the queue.
+    /// The batch; `None` if the query is about the queue.
     pub batch: Option<BatchId>,
 }
 
-/// What an entry is told.
+/// Input of the entry's core.
 #[derive(Debug, Clone)]
 pub enum EntryEvent {
-    /// A time that was asked for has come.
+    /// The time returned by `next_wake` has come.
     Wake,
-    /// A caller submits.
+    /// A caller submits a batch.
     Submit(Submission),
-    /// A caller's connection is gone.
+    /// A caller's connection was closed.
     CallerGone(RequestId),
-    /// A caller asks for a state or a count.
+    /// A caller asks for the state of a batch or the number of pending batches.
     Ask(Question),
-    /// A caller cancels.
+    /// A caller cancels a batch.
     Cancel(Question),
-    /// The platform's store shows a configuration.
+    /// The platform's store returned a configuration.
     Config(Arc<QueueTable>),
-    /// The platform's store has answered: these halls are evacuated.
+    /// The platform's store returned the evacuated halls.
     Evacuations(Arc<EvacuatedHalls>),
-    /// More entries, from the platform's store.
+    /// The platform's store returned addresses of entries.
     Entries(Vec<SocketAddr>),
-    /// A link stands; the address if this side dialled it.
+    /// A link is up; with its address if this side dialled.
     LinkUp(SessionId, Option<SocketAddr>),
-    /// A link is gone.
+    /// A link is down.
     LinkDown(SessionId),
-    /// A packet has come.
+    /// A packet was received.
     Packet(SessionId, Packet),
-    /// Stop in an orderly way.
+    /// Shut down gracefully.
     Drain,
 }
 
-/// Why a batch was refused. Nothing of it ran, and nothing will.
+/// Reason why a batch was refused. None of its tasks has run or will run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// No configuration yet.
+    /// The entry has no configuration yet.
     NoConfig,
-    /// What it asks for is not carried.
+    /// It requests an unsupported feature.
     Unsupported(Unsupported),
-    /// No room within its time.
+    /// No capacity became free in time.
     Busy,
-    /// The entry stops.
+    /// The entry is shutting down.
     Draining,
     /// Every target that could serve it is in an evacuated data hall.
     Evacuated,
 }
 
-/// What is said to a caller.
+/// Reply to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// Every task has ended well.
+    /// Every task succeeded.
     Succeeded,
-    /// A task has used up its attempts.
+    /// A task used up its attempts.
     Failed,
     /// The batch was cancelled.
     Cancelled,
-    /// It was not run.
+    /// The batch was refused and has not run.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         why: Refusal,
-        /// When to come back.
+        /// Time after which the caller may retry; `None` if a retry is pointless.
         retry_after: Option<Duration>,
     },
-    /// Its time is up; some of it ran, and nothing of it runs any more.
+    /// The batch ran out of time. Some of its tasks ran, and none is still running.
     GaveUp,
-    /// There is no such queue.
+    /// No queue matches the request.
     NoQueue,
-    /// There is no such batch.
+    /// The batch is unknown.
     NoBatch,
-    /// A batch waits.
+    /// No task of the batch has been dispatched yet.
     Waiting,
-    /// A batch runs.
+    /// A task of the batch has been dispatched.
     Running,
-    /// Batches of a queue of which nothing has begun.
+    /// Number of batches of a queue that haven't been dispatched.
     Pending(usize),
 }
 
 impl Reply {
-    /// Its kind, for counting.
+    /// Returns the reply's kind, as used in metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Succeeded => "succeeded",
@@ -159,36 +159,36 @@
     }
 }
 
-/// What an entry wants done.
+/// Output of the entry's core.
 #[derive(Debug, Clone)]
 pub enum EntryAction {
-    /// Answer a caller.
+    /// Send a reply to a caller.
     Reply(RequestId, Reply),
-    /// Send a packet.
+    /// Send a packet over a link.
     Send(SessionId, Packet),
     /// Close a link.
     Close(SessionId),
-    /// Keep a connection to the entry at this address.
+    /// Connect to the entry at this address, and reconnect after a loss.
     Dial(SocketAddr),
-    /// Keep no connection to the entry at this address any more.
+    /// Close the connection to the entry at this address, and stop reconnecting.
     Disconnect(SocketAddr),
-    /// Write a line to the log.
+    /// Write an event to the log.
     Log(LogEvent),
-    /// How long a batch took, in milliseconds, and its objective.
+    /// Record a batch's response time and its objective, both in milliseconds.
     Measured(u64, u64),
-    /// Stop the process.
+    /// Exit the process.
     Exit,
 }
 
-/// Figures of an entry.
+/// Gauges of an entry for its metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EntryLevels {
-    /// Batches held.
+    /// Number of batches held.
     pub batches: u64,
-    /// Targets that may get work.
+    /// Number of targets that may get work.
     pub targets: u64,
     /// Version of the configuration in force.
     pub config_version: u64,
-    /// Data halls that are evacuated.
+    /// Number of evacuated data halls.
     pub evacuated_halls: u64,
 }
--- a/lib/src/batch_placing.rs
+++ b/lib/src/batch_placing.rs
@@ -1,8 +1,8 @@
-//! Places the tasks of batches on targets.
+//! Places waiting tasks on targets.
 //!
-//! It is lent the batches and the board of targets for one round, notes in both what it places,
-//! and leaves the orders to be sent. A task that finds no room ends its step's turn: the step's
-//! tasks are alike.
+//! A round records each placement with the batches and the targets, and collects the start orders
+//! to send. If one task of a step finds no capacity, the step's other tasks are skipped: they need
+//! the same resources.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,62 +19,62 @@
 use crate::run_message::START_BYTES;
 use crate::target_registry::{Need, TargetRegistry, TargetView};
 
-/// A run is taken to last this long at the least where costs are shares of it.
-const SHORTEST_RUN: Duration = Duration::from_millis(10);
+/// Lower bound on run times where a cost is expressed as a share of the run time.
+const MIN_RUN_TIME: Duration = Duration::from_millis(10);
 
-/// Tasks of one step that go to one target.
+/// Tasks of one step placed together on one target.
 #[derive(Debug)]
 pub struct Placed {
     /// Link to the target's agent.
     pub link: SessionId,
-    /// The batch.
+    /// Id of the batch.
     pub batch: BatchId,
-    /// The step.
+    /// Index of the step.
     pub step: usize,
-    /// Position in the step and number of the run.
+    /// Task index in the step and run number of each task.
     pub runs: Vec<(u16, RunNumber)>,
-    /// Whether the target is to run nothing else meanwhile.
+    /// Whether the target must run nothing else meanwhile.
     pub alone: bool,
-    /// Whether the target has to be sent the payload.
+    /// Whether the payload must be sent to the target.
     pub needs_payload: bool,
 }
 
-/// A task that waits.
-struct Waiting {
+/// A task to be placed.
+struct WaitingTask {
     index: u16,
     run: RunNumber,
     avoid: Option<NodeName>,
     crashes: CrashHistory,
 }
 
-/// Where a task goes.
-struct Place {
+/// Target chosen for a task.
+struct Placement {
     link: SessionId,
     alone: bool,
 }
 
-/// See the module.
+/// One placement round over the waiting batches.
 pub struct PlacementRound<'a> {
-    /// Now.
+    /// Time of the round.
     pub now: Now,
     /// Data hall of the entry.
     pub hall: &'a HallName,
-    /// The batches.
+    /// All batches of the entry.
     pub table: &'a mut BatchTable,
-    /// The targets.
+    /// All targets known to the entry.
     pub targets: &'a mut TargetRegistry,
-    /// The entry's own link.
+    /// Load of the entry's own network link.
     pub link: &'a mut LinkLoad,
-    /// Chance.
+    /// Random number generator.
     pub rng: &'a mut ChaCha8Rng,
-    /// What was placed.
+    /// Tasks placed so far.
     pub placed: Vec<Placed>,
-    /// Whether a task found no target with room.
-    pub lacked_room: bool,
+    /// Whether a task found no target with free capacity.
+    pub lacked_capacity: bool,
 }
 
 impl PlacementRound<'_> {
-    /// Places what waits of a batch; false if some of it found no room.
+    /// Places a batch's waiting tasks; returns whether all of them were placed.
     pub fn place(&mut self, id: BatchId) -> bool {
         let Some(batch) = self.table.get(id) else {
             return true;
@@ -86,18 +86,18 @@
                 all_placed &= self.place_step(id, step);
             }
         }
-        self.table.note_waiting(id);
+        self.table.update_waiting(id);
         all_placed
     }
 
-    fn waiting(&self, id: BatchId, step: usize) -> Vec<Waiting> {
+    fn waiting_tasks(&self, id: BatchId, step: usize) -> Vec<WaitingTask> {
         let Some(batch) = self.table.get(id) else {
             return Vec::new();
         };
         let tasks = batch.steps[step].tasks.iter().enumerate();
         let waiting = tasks.filter(|(_, t)| t.state == TaskState::Waiting);
         waiting
-            .map(|(index, task)| Waiting {
+            .map(|(index, task)| WaitingTask {
                 index: index as u16,
                 run: task.run,
                 avoid: task.avoid.clone(),
@@ -113,17 +113,17 @@
             payload_sent_to.clone_from(&batch.payload_sent_to);
         }
         let mut all_placed = true;
-        for task in self.waiting(id, step) {
+        for task in self.waiting_tasks(id, step) {
             if self.link.full_until(self.now).is_some() {
                 all_placed = false;
                 break;
             }
             let Some(place) = self.place_task(id, step, &task) else {
-                // That no target suits a suspect says nothing of the room for others.
+                // A suspect may find no target even if there is capacity for other tasks.
                 if task.crashes.is_suspect() {
                     continue;
                 }
-                self.lacked_room = true;
+                self.lacked_capacity = true;
                 all_placed = false;
                 break;
             };
@@ -146,8 +146,8 @@
         all_placed
     }
 
-    /// Notes that a target is sent the payload, unless it has it.
-    fn note_payload(&mut self, id: BatchId, link: SessionId) {
+    /// Records the link load of a start order, and of the payload if the target doesn't have it.
+    fn record_start(&mut self, id: BatchId, link: SessionId) {
         let Some(batch) = self.table.get_mut(id) else {
             return;
         };
@@ -156,16 +156,16 @@
         self.link.sent(self.now, START_BYTES + payload);
     }
 
-    /// What the payload costs that one more target needs, as a share of a task's run time.
+    /// Returns the cost of sending the payload to one more target, as a share of a task's run time.
     fn payload_cost(&self, batch: &Batch, spec: &StepSpec) -> f64 {
         let price = self.link.price(self.now, batch.payload.len());
-        price.div_duration_f64(spec.estimate.max(SHORTEST_RUN))
+        price.div_duration_f64(spec.estimate.max(MIN_RUN_TIME))
     }
 
-    /// Chooses a target for a task and notes that it has it. A suspect goes to an idle target if
-    /// there is one, and otherwise to one that has no other suspect: innocents are cleared sooner, and
-    /// a crash takes less along.
-    fn place_task(&mut self, id: BatchId, step: usize, task: &Waiting) -> Option<Place> {
+    /// Chooses a target for a task and records the run. A suspected task goes to an idle target if
+    /// there is one, or else to a target without other suspects. This clears harmless tasks sooner
+    /// and limits the runs lost in a crash.
+    fn place_task(&mut self, id: BatchId, step: usize, task: &WaitingTask) -> Option<Placement> {
         let mut chosen = None;
         if task.crashes.is_suspect() {
             chosen = self.choose(id, step, task, true);
@@ -177,7 +177,7 @@
         let link = chosen?;
         let batch = self.table.get(id)?;
         let view = self.targets.get(link)?;
-        let taken = match &view.info {
+        let reserved = match &view.info {
             Some(info) if alone => info.capacity,
             _ => batch.steps[step].spec.size,
         };
@@ -191,17 +191,17 @@
             },
             run: task.run,
         };
-        self.targets.sent_start(self.now, link, taken);
-        self.note_payload(id, link);
+        self.targets.sent_start(self.now, link, reserved);
+        self.record_start(id, link);
         self.table.record_run(self.now, key, &agent);
-        Some(Place { link, alone })
+        Some(Placement { link, alone })
     }
 
     fn choose(
         &mut self,
         id: BatchId,
         step: usize,
-        task: &Waiting,
+        task: &WaitingTask,
         is_idle: bool,
     ) -> Option<SessionId> {
         let batch = self.table.get(id)?;
@@ -217,13 +217,13 @@
             is_idle,
         };
         let table = &*self.table;
-        let is_full = |view: &TargetView| {
-            let most = spec.most_per_target;
-            let has_most =
-                most.is_some_and(|most| table.step_runs_at(&view.agent, id, step as u16) >= most);
-            has_most || (task.crashes.is_suspect() && table.has_suspect_at(&view.agent))
+        let is_excluded = |view: &TargetView| {
+            let limit = spec.most_per_target;
+            let is_at_limit = limit
+                .is_some_and(|limit| table.step_runs_at(&view.agent, id, step as u16) >= limit);
+            is_at_limit || (task.crashes.is_suspect() && table.has_suspect_at(&view.agent))
         };
         self.targets
-            .choose(self.now, &need, self.hall, is_full, self.rng)
+            .choose(self.now, &need, self.hall, is_excluded, self.rng)
     }
 }
--- a/lib/src/batch_table.rs
+++ b/lib/src/batch_table.rs
@@ -1,4 +1,4 @@
-//! Batches that an entry holds, found by id, request, agent and time.
+//! The batches of an entry, indexed by id, request, agent and deadline.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,39 +9,39 @@
 use crate::ids::{NodeName, Now, RequestId, SessionId};
 use crate::run::{BatchId, RunKey, RunNumber};
 
-/// A task's run numbers jump by this when a target has seen a higher one: more than the attempts
-/// that one entry makes as a rule.
+/// Increment of a task's run number after a target has seen a higher one. It exceeds the usual
+/// number of runs that one entry starts.
 const RUN_NUMBER_JUMP: RunNumber = 8;
 
-/// How a run is over, as it matters to its task.
+/// Outcome of a run for its task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It ended well.
+    /// The run succeeded.
     Done,
-    /// It failed: one of the task's attempts is used up.
+    /// The run failed, which uses up one of the task's attempts.
     Failed,
-    /// The target crashed while it had the run.
+    /// The target crashed during the run.
     Crashed {
-        /// Whether it had no other run.
+        /// Whether the target had no other run.
         alone: bool,
     },
-    /// It ended otherwise, or never began.
+    /// The run ended otherwise or never started; the task waits again.
     Retry {
         /// Whether the target has seen a higher run number.
         superseded: bool,
     },
 }
 
-/// What a run's end means for its batch.
+/// Effect of the end of a run on its batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum BatchNews {
-    /// Nothing: the run is not this entry's, or more is to come.
+pub enum BatchChange {
+    /// No change, or the run is unknown.
     None,
     /// Every task is done.
     Done,
-    /// A task has used up its attempts, or targets crash under it.
+    /// A task used up its attempts, or must not run again because targets crashed during its runs.
     Failed,
-    /// A batch that is not wanted has nothing out any more.
+    /// The last open run of a closing batch is over.
     Closed,
 }
 
@@ -49,53 +49,53 @@
 #[derive(Debug, Default)]
 pub struct BatchTable {
     batches: BTreeMap<BatchId, Batch>,
-    /// Batches with tasks that wait, in the order in which they are placed, and how many.
+    /// Number of waiting tasks per batch, in placement order.
     waiting: BTreeMap<(PlacementOrder, BatchId), u32>,
     waiting_tasks: u32,
-    wakes: BTreeSet<(Now, BatchId)>,
+    deadlines: BTreeSet<(Now, BatchId)>,
     by_request: BTreeMap<RequestId, BatchId>,
     by_agent: BTreeMap<NodeName, BTreeSet<RunKey>>,
 }
 
 impl BatchTable {
-    /// Takes a batch in.
+    /// Inserts a batch.
     pub fn insert(&mut self, id: BatchId, batch: Batch) {
         if let Some(request) = batch.request {
             self.by_request.insert(request, id);
         }
-        self.set_waiting(batch.turn(), id, batch.waiting_tasks());
-        self.wakes.insert((batch.in_time_until, id));
-        self.wakes.insert((batch.placement_deadline, id));
-        self.wakes.insert((batch.caller_deadline, id));
+        self.set_waiting(batch.placement_order(), id, batch.waiting_tasks());
+        self.deadlines.insert((batch.in_time_until, id));
+        self.deadlines.insert((batch.placement_deadline, id));
+        self.deadlines.insert((batch.caller_deadline, id));
         self.batches.insert(id, batch);
     }
 
-    /// A batch.
+    /// Returns a batch.
     pub fn get(&self, id: BatchId) -> Option<&Batch> {
         self.batches.get(&id)
     }
 
-    /// A batch.
+    /// Returns a batch for modification.
     pub fn get_mut(&mut self, id: BatchId) -> Option<&mut Batch> {
         self.batches.get_mut(&id)
     }
 
-    /// Ids of all batches.
+    /// Returns the ids of all batches.
     pub fn ids(&self) -> Vec<BatchId> {
         self.batches.keys().copied().collect()
     }
 
-    /// Number of batches.
+    /// Returns the number of batches.
     pub fn len(&self) -> usize {
         self.batches.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no batches.
     pub fn is_empty(&self) -> bool {
         self.batches.is_empty()
     }
 
-    /// Batches of a queue of which nothing has been placed.
+    /// Returns the number of a queue's batches that haven't been dispatched.
     pub fn pending(&self, queue_name: &str) -> usize {
         let batches = self.batches.values();
         batches
@@ -103,68 +103,68 @@
             .count()
     }
 
-    /// Tasks that wait in batches whose turn has come.
+    /// Returns the number of waiting tasks in all batches.
     pub fn waiting_tasks(&self) -> u32 {
         self.waiting_tasks
     }
 
-    /// Tasks that wait in batches whose turn is before this one.
-    pub fn waiting_before(&self, turn: PlacementOrder) -> u32 {
-        let before = self.waiting.range(..(turn, BatchId::MIN));
+    /// Returns the number of waiting tasks in batches that precede `order`.
+    pub fn waiting_before(&self, order: PlacementOrder) -> u32 {
+        let before = self.waiting.range(..(order, BatchId::MIN));
         before.map(|(_, tasks)| *tasks).sum()
     }
 
-    fn set_waiting(&mut self, turn: PlacementOrder, id: BatchId, tasks: u32) {
+    fn set_waiting(&mut self, order: PlacementOrder, id: BatchId, tasks: u32) {
         let before = if tasks > 0 {
-            self.waiting.insert((turn, id), tasks)
+            self.waiting.insert((order, id), tasks)
         } else {
-            self.waiting.remove(&(turn, id))
+            self.waiting.remove(&(order, id))
         };
         self.waiting_tasks += tasks;
         self.waiting_tasks -= before.unwrap_or(0);
     }
 
-    /// Takes a batch out.
+    /// Removes and returns a batch.
     pub fn remove(&mut self, id: BatchId) -> Option<Batch> {
         let batch = self.batches.remove(&id)?;
         if let Some(request) = batch.request {
             self.by_request.remove(&request);
         }
-        self.set_waiting(batch.turn(), id, 0);
-        self.wakes.remove(&(batch.in_time_until, id));
-        self.wakes.remove(&(batch.placement_deadline, id));
-        self.wakes.remove(&(batch.caller_deadline, id));
+        self.set_waiting(batch.placement_order(), id, 0);
+        self.deadlines.remove(&(batch.in_time_until, id));
+        self.deadlines.remove(&(batch.placement_deadline, id));
+        self.deadlines.remove(&(batch.caller_deadline, id));
         for (key, agent) in batch.open_runs(id, false) {
-            self.forget_out(&agent, key);
+            self.forget_run(&agent, key);
         }
         Some(batch)
     }
 
-    /// The batch that a request asked for.
-    pub fn of_request(&self, request: RequestId) -> Option<BatchId> {
+    /// Returns the batch that a request submitted.
+    pub fn find_by_request(&self, request: RequestId) -> Option<BatchId> {
         self.by_request.get(&request).copied()
     }
 
-    /// Takes the request off a batch, for it is answered or gone.
+    /// Detaches the request from a batch once it is answered or its caller has disconnected.
     pub fn take_request(&mut self, id: BatchId) -> Option<RequestId> {
         let request = self.batches.get_mut(&id)?.request.take()?;
         self.by_request.remove(&request);
         Some(request)
     }
 
-    /// Opens a batch that was being closed again, for a new request of its caller.
+    /// Reopens a batch for a new request of its caller.
     pub fn reopen(&mut self, id: BatchId, request: RequestId, times: BatchTimes) {
         self.take_request(id);
-        let Some(turn) = self.batches.get(&id).map(Batch::turn) else {
+        let Some(order) = self.batches.get(&id).map(Batch::placement_order) else {
             return;
         };
-        self.set_waiting(turn, id, 0);
+        self.set_waiting(order, id, 0);
         let Some(batch) = self.batches.get_mut(&id) else {
             return;
         };
-        self.wakes.remove(&(batch.in_time_until, id));
-        self.wakes.remove(&(batch.placement_deadline, id));
-        self.wakes.remove(&(batch.caller_deadline, id));
+        self.deadlines.remove(&(batch.in_time_until, id));
+        self.deadlines.remove(&(batch.placement_deadline, id));
+        self.deadlines.remove(&(batch.caller_deadline, id));
         batch.request = Some(request);
         batch.state = BatchState::Open;
         batch.arrived = times.arrived;
@@ -174,70 +174,70 @@
         batch.in_time_until = times.in_time_until;
         batch.placement_deadline = times.placement_deadline;
         self.by_request.insert(request, id);
-        self.wakes.insert((times.in_time_until, id));
-        self.wakes.insert((times.placement_deadline, id));
-        self.wakes.insert((times.caller_deadline, id));
-        self.note_waiting(id);
+        self.deadlines.insert((times.in_time_until, id));
+        self.deadlines.insert((times.placement_deadline, id));
+        self.deadlines.insert((times.caller_deadline, id));
+        self.update_waiting(id);
     }
 
-    /// Lets a batch of which nothing has been placed wait for longer.
+    /// Replaces a batch's placement deadline.
     pub fn postpone(&mut self, id: BatchId, placement_deadline: Now) {
         if let Some(batch) = self.batches.get_mut(&id) {
-            self.wakes.remove(&(batch.placement_deadline, id));
+            self.deadlines.remove(&(batch.placement_deadline, id));
             batch.placement_deadline = placement_deadline;
-            self.wakes.insert((placement_deadline, id));
+            self.deadlines.insert((placement_deadline, id));
         }
     }
 
-    /// Puts a batch behind those that can still be in time.
-    pub fn note_overdue(&mut self, id: BatchId) {
+    /// Marks a batch as overdue, which moves it behind those that can still be in time.
+    pub fn mark_overdue(&mut self, id: BatchId) {
         let Some(batch) = self.batches.get_mut(&id) else {
             return;
         };
-        let before = batch.turn();
+        let before = batch.placement_order();
         batch.is_overdue = true;
         self.set_waiting(before, id, 0);
-        self.note_waiting(id);
+        self.update_waiting(id);
     }
 
-    /// Keeps the list of waiting batches in step with one of them.
-    pub fn note_waiting(&mut self, id: BatchId) {
+    /// Updates a batch's entry in the placement order.
+    pub fn update_waiting(&mut self, id: BatchId) {
         let Some(batch) = self.batches.get(&id) else {
             return;
         };
-        let (turn, tasks) = (batch.turn(), batch.waiting_tasks());
-        self.set_waiting(turn, id, tasks);
+        let (order, tasks) = (batch.placement_order(), batch.waiting_tasks());
+        self.set_waiting(order, id, tasks);
     }
 
-    /// Batches with tasks that wait, in the order in which they are placed.
-    pub fn in_order(&self) -> impl Iterator<Item = BatchId> {
+    /// Returns the batches with waiting tasks, in placement order.
+    pub fn in_placement_order(&self) -> impl Iterator<Item = BatchId> {
         self.waiting.keys().map(|(_, id)| *id)
     }
 
-    /// Whether any task waits.
+    /// Returns whether any task is waiting.
     pub fn has_waiting(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// Batches whose next time has come.
-    pub fn take_woken(&mut self, now: Now) -> Vec<BatchId> {
-        let mut woken = Vec::new();
-        while let Some(&(at, id)) = self.wakes.first() {
+    /// Removes the deadlines that have passed and returns their batches.
+    pub fn take_due(&mut self, now: Now) -> Vec<BatchId> {
+        let mut due = Vec::new();
+        while let Some(&(at, id)) = self.deadlines.first() {
             if at > now {
                 break;
             }
-            self.wakes.pop_first();
-            woken.push(id);
+            self.deadlines.pop_first();
+            due.push(id);
         }
-        woken
+        due
     }
 
-    /// When a batch's next time comes.
-    pub fn next_wake(&self) -> Option<Now> {
-        self.wakes.first().map(|(at, _)| *at)
+    /// Returns the next deadline of any batch.
+    pub fn next_deadline(&self) -> Option<Now> {
+        self.deadlines.first().map(|(at, _)| *at)
     }
 
-    /// Notes that a task is out.
+    /// Records that a task was assigned to an agent.
     pub fn record_run(&mut self, now: Now, key: RunKey, agent: &NodeName) {
         let Some(batch) = self.batches.get_mut(&key.task.batch) else {
             return;
@@ -255,77 +255,77 @@
         self.by_agent.entry(agent.clone()).or_default().insert(key);
     }
 
-    fn forget_out(&mut self, agent: &NodeName, key: RunKey) {
+    fn forget_run(&mut self, agent: &NodeName, key: RunKey) {
         if let Some(keys) = self.by_agent.get_mut(agent) {
             keys.remove(&key);
         }
     }
 
-    /// Runs that are out at an agent.
+    /// Returns the open runs at an agent.
     pub fn runs_at(&self, agent: &str) -> Vec<RunKey> {
         let keys = self.by_agent.get(agent);
         keys.map(|k| k.iter().copied().collect())
             .unwrap_or_default()
     }
 
-    /// Whether anything is out at an agent.
+    /// Returns whether an agent has open runs.
     pub fn has_runs_at(&self, agent: &str) -> bool {
         self.by_agent.get(agent).is_some_and(|k| !k.is_empty())
     }
 
-    /// Tasks of a step that are out at an agent.
+    /// Returns the number of a step's open runs at an agent.
     pub fn step_runs_at(&self, agent: &str, batch: BatchId, step: u16) -> u32 {
         let keys = self.by_agent.get(agent);
         let of_step = |k: &&RunKey| k.task.batch == batch && k.task.step == step;
         keys.map_or(0, |k| k.iter().filter(of_step).count() as u32)
     }
 
-    /// Takes in that a run is over, on proof.
-    pub fn run_over(&mut self, key: RunKey, over: RunOutcome) -> BatchNews {
+    /// Applies the outcome of a run that is proven over.
+    pub fn end_run(&mut self, key: RunKey, outcome: RunOutcome) -> BatchChange {
         let id = key.task.batch;
         let Some(batch) = self.batches.get_mut(&id) else {
-            return BatchNews::None;
+            return BatchChange::None;
         };
-        let most_attempts = batch.queue.max_attempts;
+        let max_attempts = batch.queue.max_attempts;
         let Some(task) = batch.task_mut(key) else {
-            return BatchNews::None;
+            return BatchChange::None;
         };
         let TaskState::Assigned { agent, .. } = task.state.clone() else {
-            return BatchNews::None;
+            return BatchChange::None;
         };
         task.run += 1;
         task.state = TaskState::Waiting;
         let mut failed = false;
-        match over {
+        match outcome {
             RunOutcome::Done => task.state = TaskState::Done,
             RunOutcome::Failed => {
                 task.failures += 1;
                 task.avoid = Some(agent.clone());
-                failed = task.failures >= most_attempts;
+                failed = task.failures >= max_attempts;
             }
             RunOutcome::Crashed { alone } => {
                 task.avoid = Some(agent.clone());
-                failed = task.crashes.note(alone);
+                failed = task.crashes.record(alone);
             }
             RunOutcome::Retry { superseded: true } => task.run += RUN_NUMBER_JUMP,
             RunOutcome::Retry { superseded: false } => {}
         }
         batch.open_runs -= 1;
-        if over == RunOutcome::Done {
-            batch.steps[usize::from(key.task.step)].left -= 1;
+        if outcome == RunOutcome::Done {
+            batch.steps[usize::from(key.task.step)].unfinished -= 1;
         }
-        let news = match batch.state {
-            BatchState::Open if batch.is_done() => BatchNews::Done,
-            BatchState::Open if failed => BatchNews::Failed,
-            BatchState::Closing(_) if batch.open_runs == 0 => BatchNews::Closed,
-            _ => BatchNews::None,
+        let change = match batch.state {
+            BatchState::Open if batch.is_done() => BatchChange::Done,
+            BatchState::Open if failed => BatchChange::Failed,
+            BatchState::Closing(_) if batch.open_runs == 0 => BatchChange::Closed,
+            _ => BatchChange::None,
         };
-        self.forget_out(&agent, key);
-        self.note_waiting(id);
-        news
+        self.forget_run(&agent, key);
+        self.update_waiting(id);
+        change
     }
 
-    /// A task at the present run.
+    /// Returns the task of a run, if that run is its current one.
     pub fn task(&self, key: RunKey) -> Option<&Task> {
         let step = usize::from(key.task.step);
         let index = usize::from(key.task.index);
@@ -339,14 +339,14 @@
         (task.run == key.run).then_some(task)
     }
 
-    /// Whether a task that is suspected of crashing targets is out at an agent.
+    /// Returns whether an agent has an open run of a task suspected of crashing targets.
     pub fn has_suspect_at(&self, agent: &str) -> bool {
         let keys = self.by_agent.get(agent);
         let is_suspect = |key: &RunKey| self.task(*key).is_some_and(|t| t.crashes.is_suspect());
         keys.is_some_and(|keys| keys.iter().any(is_suspect))
     }
 
-    /// Whether a run is being stopped.
+    /// Returns whether a run is being stopped.
     pub fn is_stopping(&self, key: RunKey) -> bool {
         matches!(
             self.task(key),
@@ -357,18 +357,18 @@
         )
     }
 
-    /// Notes that a run is being stopped so that its task goes on elsewhere; gives the agent that
-    /// has it, unless it is being stopped already. Without the note, the task may go back to the
-    /// target that it is moved away from, again and again.
-    pub fn note_moving(&mut self, key: RunKey) -> Option<NodeName> {
-        let agent = self.note_stopping(key)?;
+    /// Marks a run as being stopped in order to move its task, and returns its agent, unless the
+    /// run is already being stopped. The task then avoids that agent, to which it might otherwise
+    /// return repeatedly.
+    pub fn mark_moving(&mut self, key: RunKey) -> Option<NodeName> {
+        let agent = self.mark_stopping(key)?;
         let task = self.batches.get_mut(&key.task.batch)?.task_mut(key)?;
         task.avoid = Some(agent.clone());
         Some(agent)
     }
 
-    /// Notes that a run is being stopped; says at which agent, if it is out and was not before.
-    pub fn note_stopping(&mut self, key: RunKey) -> Option<NodeName> {
+    /// Marks an open run as being stopped. Returns its agent, unless it was already being stopped.
+    pub fn mark_stopping(&mut self, key: RunKey) -> Option<NodeName> {
         let batch = self.batches.get_mut(&key.task.batch)?;
         let task = batch.task_mut(key)?;
         let TaskState::Assigned {
@@ -385,28 +385,28 @@
         Some(agent.clone())
     }
 
-    /// Closes a batch: nothing more of it starts. Gives the runs to be stopped.
+    /// Closes a batch: none of its tasks starts any more. Returns the runs to stop.
     pub fn close(&mut self, id: BatchId, reason: CloseReason) -> Vec<(RunKey, NodeName)> {
         let Some(batch) = self.batches.get_mut(&id) else {
             return Vec::new();
         };
         batch.state = BatchState::Closing(reason);
-        let live = batch.open_runs(id, true);
-        self.note_waiting(id);
-        for (key, _) in &live {
-            self.note_stopping(*key);
+        let to_stop = batch.open_runs(id, true);
+        self.update_waiting(id);
+        for (key, _) in &to_stop {
+            self.mark_stopping(*key);
         }
-        live
+        to_stop
     }
 
-    /// Notes that an agent has forgotten a batch's payload.
+    /// Records that an agent no longer has a batch's payload.
     pub fn forget_payload(&mut self, id: BatchId, link: SessionId) {
         if let Some(batch) = self.batches.get_mut(&id) {
             batch.payload_sent_to.remove(&link);
         }
     }
 
-    /// How long a batch has been here.
+    /// Returns the time since a batch arrived; zero if it is unknown.
     pub fn age(&self, now: Now, id: BatchId) -> Duration {
         let arrived = self.batches.get(&id).map_or(now, |b| b.arrived);
         now.saturating_sub(arrived)
--- a/lib/src/capacity_shares.rs
+++ b/lib/src/capacity_shares.rs
@@ -1,9 +1,9 @@
-//! Shares a target's free room among the entries that wait for it.
+//! Divides a target's free capacity among the entries that wait for it.
 //!
-//! An entry that is told of a free place orders it at once. Told the same place, ten entries send
-//! ten orders and nine come back; so a scarce place is promised to one entry at a time, in turns
-//! weighted by how much waits there. A promise is a hint: the agent checks every order against the
-//! room that there really is.
+//! An entry uses a free slot as soon as it learns of it. If all entries learnt of the same slot,
+//! all but one of their orders would be rejected. So a scarce slot is reserved for one entry at a
+//! time, by round robin weighted by the number of waiting tasks. A reservation is only a hint: the
+//! agent checks every order against the capacity that is really free.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,84 +11,88 @@
 use crate::ids::{Now, SessionId};
 use crate::resources::Resources;
 
-/// How long an entry has to use a promised place, before another gets it. An order takes a packet
-/// each way, some 5 ms on busy VMs.
-const PROMISE_HOLDS: Duration = Duration::from_millis(20);
+/// Lifetime of a reservation: several round trips, after which another entry gets the slot.
+const RESERVATION_TTL: Duration = Duration::from_millis(20);
 
-/// What an entry waits for.
+/// Number of tasks that wait at an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Demand {
     /// Link to the entry.
     pub link: SessionId,
-    /// Tasks that wait there.
+    /// Number of tasks waiting at the entry.
     pub waiting: u32,
 }
 
-/// What a target has free.
+/// Free capacity of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreeCapacity {
-    /// All of it.
+    /// All free resources.
     pub free: Resources,
-    /// What a task takes as a rule.
+    /// Resources that a typical task takes: one slot.
     pub place: Resources,
 }
 
-/// An entry's turn.
+/// Round-robin state of an entry.
 #[derive(Debug, Default)]
-struct Turn {
-    /// Smooth weighted round robin: grows by the entry's weight in each round, and falls by the
-    /// weight of all when the entry is chosen.
+struct EntryTurn {
+    /// Credit in smooth weighted round robin: grows by the entry's weight in each round, and falls
+    /// by the total weight when the entry is chosen.
     credit: i64,
-    /// Until when a place is promised to it.
-    promised_until: Option<Now>,
+    /// Expiry of the entry's reservation, if it has one.
+    reserved_until: Option<Now>,
 }
 
-/// See the module.
+/// Round-robin state of the entries that compete for one target's capacity.
 #[derive(Debug, Default)]
 pub struct CapacityShares {
-    turns: BTreeMap<SessionId, Turn>,
+    turns: BTreeMap<SessionId, EntryTurn>,
 }
 
 impl CapacityShares {
-    /// Forgets a link.
+    /// Drops the state of an entry whose link is gone.
     pub fn leave(&mut self, link: SessionId) {
         self.turns.remove(&link);
     }
 
-    /// Notes that an entry has sent an order: its promise is used.
+    /// Clears the reservation of an entry that has sent an order.
     pub fn used(&mut self, link: SessionId) {
         if let Some(turn) = self.turns.get_mut(&link) {
-            turn.promised_until = None;
+            turn.reserved_until = None;
         }
     }
 
-    /// When a promise runs out next.
+    /// Returns when the next reservation expires.
     pub fn next_wake(&self) -> Option<Now> {
-        self.turns.values().filter_map(|t| t.promised_until).min()
+        self.turns.values().filter_map(|t| t.reserved_until).min()
     }
 
-    /// What each entry may take for free, in the order of `demands`.
-    pub fn share(&mut self, now: Now, room: FreeCapacity, demands: &[Demand]) -> Vec<Resources> {
-        let hungry = demands.iter().filter(|d| d.waiting > 0).count() as u64;
-        let places = room.place.times_in(room.free);
-        if hungry <= 1 {
+    /// Returns the free resources that each entry may use, in the order of `demands`.
+    pub fn share(
+        &mut self,
+        now: Now,
+        capacity: FreeCapacity,
+        demands: &[Demand],
+    ) -> Vec<Resources> {
+        let waiting_entries = demands.iter().filter(|d| d.waiting > 0).count() as u64;
+        let slots = capacity.place.times_in(capacity.free);
+        if waiting_entries <= 1 {
             self.turns.clear();
-            return vec![room.free; demands.len()];
+            return vec![capacity.free; demands.len()];
         }
-        if places >= hungry {
+        if slots >= waiting_entries {
             self.turns.clear();
-            let equal = room.free.divided_by(hungry);
-            let share = |d: &Demand| if d.waiting > 0 { equal } else { room.free };
+            let equal = capacity.free.divided_by(waiting_entries);
+            let share = |d: &Demand| if d.waiting > 0 { equal } else { capacity.free };
             return demands.iter().map(share).collect();
         }
-        self.promise(now, places, demands);
-        let promised = self.promised();
-        // Whoever has a promise may take what the others' promises leave.
-        let others = room.place.times(promised.saturating_sub(1));
+        self.reserve_slots(now, slots, demands);
+        let reserved = self.reserved();
+        // An entry with a reservation may use all that the other reservations leave.
+        let reserved_by_others = capacity.place.times(reserved.saturating_sub(1));
         let share = |d: &Demand| {
-            let is_promised = self.is_promised(d.link);
-            if is_promised {
-                room.free.minus(others)
+            let has_reservation = self.has_reservation(d.link);
+            if has_reservation {
+                capacity.free.minus(reserved_by_others)
             } else {
                 Resources::NONE
             }
@@ -96,59 +100,59 @@
         demands.iter().map(share).collect()
     }
 
-    fn is_promised(&self, link: SessionId) -> bool {
+    fn has_reservation(&self, link: SessionId) -> bool {
         let turn = self.turns.get(&link);
-        turn.is_some_and(|t| t.promised_until.is_some())
+        turn.is_some_and(|t| t.reserved_until.is_some())
     }
 
-    fn promised(&self) -> u64 {
+    fn reserved(&self) -> u64 {
         let turns = self.turns.values();
-        turns.filter(|t| t.promised_until.is_some()).count() as u64
+        turns.filter(|t| t.reserved_until.is_some()).count() as u64
     }
 
-    /// Promises as many places as there are.
-    fn promise(&mut self, now: Now, places: u64, demands: &[Demand]) {
+    /// Reserves up to `slots` slots, and revokes reservations above that number.
+    fn reserve_slots(&mut self, now: Now, slots: u64, demands: &[Demand]) {
         for turn in self.turns.values_mut() {
-            turn.promised_until = turn.promised_until.filter(|until| *until > now);
+            turn.reserved_until = turn.reserved_until.filter(|until| *until > now);
         }
-        while self.promised() > places {
-            self.take_back_latest();
+        while self.reserved() > slots {
+            self.revoke_latest();
         }
-        while self.promised() < places {
-            let Some(link) = self.next_turn(demands) else {
+        while self.reserved() < slots {
+            let Some(link) = self.next_entry(demands) else {
                 return;
             };
             let turn = self.turns.entry(link).or_default();
-            turn.promised_until = Some(now + PROMISE_HOLDS);
+            turn.reserved_until = Some(now + RESERVATION_TTL);
         }
     }
 
-    fn take_back_latest(&mut self) {
-        let promised = self.turns.iter_mut();
-        let latest = promised.max_by_key(|(_, turn)| turn.promised_until);
+    fn revoke_latest(&mut self) {
+        let reserved = self.turns.iter_mut();
+        let latest = reserved.max_by_key(|(_, turn)| turn.reserved_until);
         if let Some((_, turn)) = latest {
-            turn.promised_until = None;
+            turn.reserved_until = None;
         }
     }
 
-    /// The entry whose turn it is, among those that wait and have no promise.
-    fn next_turn(&mut self, demands: &[Demand]) -> Option<SessionId> {
-        let mut whole = 0;
-        let mut first: Option<(i64, SessionId)> = None;
+    /// Chooses the next entry among those with waiting tasks and no reservation.
+    fn next_entry(&mut self, demands: &[Demand]) -> Option<SessionId> {
+        let mut total_weight = 0;
+        let mut best: Option<(i64, SessionId)> = None;
         for demand in demands {
-            if demand.waiting == 0 || self.is_promised(demand.link) {
+            if demand.waiting == 0 || self.has_reservation(demand.link) {
                 continue;
             }
             let weight = i64::from(demand.waiting);
-            whole += weight;
+            total_weight += weight;
             let turn = self.turns.entry(demand.link).or_default();
             turn.credit += weight;
-            if first.is_none_or(|(most, _)| turn.credit > most) {
-                first = Some((turn.credit, demand.link));
+            if best.is_none_or(|(credit, _)| turn.credit > credit) {
+                best = Some((turn.credit, demand.link));
             }
         }
-        let (_, link) = first?;
-        self.turns.entry(link).or_default().credit -= whole;
+        let (_, link) = best?;
+        self.turns.entry(link).or_default().credit -= total_weight;
         Some(link)
     }
 }
--- a/lib/src/deferred_batches.rs
+++ b/lib/src/deferred_batches.rs
@@ -1,7 +1,7 @@
-//! Batches that come to an entry before its first configuration.
+//! Holds batches that arrive before the entry's first configuration.
 //!
-//! An entry has its configuration some 20 ms after it starts, and callers come sooner than that.
-//! Their batches are held for a moment; what is left then is refused.
+//! Callers may connect before an entry that has just started gets its configuration. Their batches
+//! are held for a short time; those that are still held then are refused.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,50 +9,49 @@
 use crate::batch_event::Submission;
 use crate::ids::{Now, RequestId};
 
-/// How long a batch is held: ten times what a first configuration takes as a rule, and a quarter
-/// of the objective of a task of 200 ms.
-const HOLD_FOR: Duration = Duration::from_millis(100);
-/// Batches held at the most: what the busiest entry gets in that time, twice.
-const MOST_HELD: usize = 200;
+/// Longest time for which a batch is held: well above the usual wait for the first configuration.
+const MAX_HOLD_TIME: Duration = Duration::from_millis(100);
+/// Largest number of held batches.
+const MAX_HELD: usize = 200;
 
-/// See the module.
+/// Held batches with the time at which each expires, in order of arrival.
 #[derive(Debug, Default)]
 pub struct DeferredBatches {
     held: VecDeque<(Now, Submission)>,
 }
 
 impl DeferredBatches {
-    /// Whether another batch may be held.
-    pub fn has_room(&self) -> bool {
-        self.held.len() < MOST_HELD
+    /// Returns whether another batch may be held.
+    pub fn has_capacity(&self) -> bool {
+        self.held.len() < MAX_HELD
     }
 
-    /// Holds a batch. There must be room.
+    /// Holds a batch. The caller must check `has_capacity` first.
     pub fn hold(&mut self, now: Now, submission: Submission) {
-        self.held.push_back((now + HOLD_FOR, submission));
+        self.held.push_back((now + MAX_HOLD_TIME, submission));
     }
 
-    /// Drops the batch of a caller that has gone; says whether it was held.
-    pub fn forget(&mut self, request: RequestId) -> bool {
+    /// Drops the batch of a caller that has disconnected; returns whether it was held.
+    pub fn remove(&mut self, request: RequestId) -> bool {
         let before = self.held.len();
         self.held.retain(|(_, s)| s.request != request);
         self.held.len() < before
     }
 
-    /// All batches, for they can be taken in or refused now.
+    /// Removes and returns all batches.
     pub fn take_all(&mut self) -> Vec<Submission> {
         let held = std::mem::take(&mut self.held);
         held.into_iter().map(|(_, submission)| submission).collect()
     }
 
-    /// Batches that have been held for too long.
+    /// Removes and returns the batches whose hold time is over.
     pub fn take_expired(&mut self, now: Now) -> Vec<Submission> {
         let expired = self.held.partition_point(|(until, _)| *until <= now);
         let expired = self.held.drain(..expired);
         expired.map(|(_, submission)| submission).collect()
     }
 
-    /// When a batch has been held for too long.
+    /// Returns when the next batch expires.
     pub fn next_wake(&self) -> Option<Now> {
         self.held.front().map(|(until, _)| *until)
     }
--- a/lib/src/entry_drain.rs
+++ b/lib/src/entry_drain.rs
@@ -1,70 +1,70 @@
-//! The orderly stop of an entry: how long it goes on taking batches, and when it ends.
+//! Graceful shutdown of an entry: how long it accepts batches, and when the process exits.
 
 use std::time::Duration;
 
 use crate::ids::Now;
 use crate::timings::Timings;
 
-/// Times its estimated work that a batch may need at the most, as a stopping entry counts.
-const MARGIN: u32 = 2;
-/// Added to the above for placing and answering.
-const SLACK: Duration = Duration::from_millis(200);
+/// Factor on a batch's critical path in the time that it may need.
+const WORK_MARGIN: u32 = 2;
+/// Time added for placement and the answer.
+const OVERHEAD: Duration = Duration::from_millis(200);
 
-/// See the module.
+/// State of a graceful shutdown.
 #[derive(Debug)]
 pub struct EntryDrain {
     since: Option<Now>,
-    /// All new requests are served for so long.
-    serve_on: Duration,
-    /// Latest end.
+    /// Time for which all new requests are still served.
+    serving_time: Duration,
+    /// Longest time until the process exits.
     limit: Duration,
 }
 
 impl EntryDrain {
-    /// A drain that has not begun.
+    /// Creates a drain that has not begun.
     pub fn new(timings: &Timings) -> Self {
         Self {
             since: None,
-            serve_on: timings.serve_on,
+            serving_time: timings.serve_on,
             limit: timings.entry_stop,
         }
     }
 
-    /// Begins; false if it had begun before.
+    /// Begins the drain; returns whether it hadn't begun before.
     pub fn begin(&mut self, now: Now) -> bool {
         let is_first = self.since.is_none();
         self.since.get_or_insert(now);
         is_first
     }
 
-    /// Whether it has begun.
+    /// Returns whether the drain has begun.
     pub fn has_begun(&self) -> bool {
         self.since.is_some()
     }
 
-    /// Whether a batch with this chain of work could not be seen through: callers with open
-    /// connections send for longer than the balancer does.
-    pub fn would_be_outlasted(&self, now: Now, chain: Duration) -> bool {
+    /// Returns whether a new batch with this critical path might not finish before the process
+    /// exits. Callers with open connections keep sending after the balancer has stopped.
+    pub fn would_exceed_limit(&self, now: Now, critical_path: Duration) -> bool {
         self.since.is_some_and(|since| {
-            let needs = chain * MARGIN + SLACK;
-            now >= since + self.serve_on && now + needs > since + self.limit
+            let needed = critical_path * WORK_MARGIN + OVERHEAD;
+            now >= since + self.serving_time && now + needed > since + self.limit
         })
     }
 
-    /// Whether the process is to end.
-    pub fn is_over(&self, now: Now, holds_nothing: bool) -> bool {
+    /// Returns whether the process should exit.
+    pub fn is_over(&self, now: Now, has_no_batches: bool) -> bool {
         self.since.is_some_and(|since| {
-            let may_end = holds_nothing && now >= since + self.serve_on;
+            let may_end = has_no_batches && now >= since + self.serving_time;
             may_end || now >= since + self.limit
         })
     }
 
-    /// When to look again.
+    /// Returns when to check the drain again.
     pub fn next_wake(&self, now: Now) -> Option<Now> {
         let since = self.since?;
-        let serves_until = since + self.serve_on;
-        Some(if now < serves_until {
-            serves_until
+        let serving_until = since + self.serving_time;
+        Some(if now < serving_until {
+            serving_until
         } else {
             since + self.limit
         })
--- a/lib/src/peer_closings.rs
+++ b/lib/src/peer_closings.rs
@@ -1,10 +1,10 @@
-//! Batches that other entries are closing, for their callers have gone while runs were out.
+//! Tracks batches that other entries are closing because the caller left during open runs.
 //!
-//! A caller whose connection broke may come to another entry at once. Its batch is held here until
-//! the first entry says that its runs are over, or until they must be by the chain of leases.
+//! A caller whose connection broke may resubmit to this entry at once. Its batch is blocked here
+//! until the first entry reports that its runs are over, or until the leases guarantee it.
 //!
-//! Entries pass these notices on to their neighbours, so each comes by several ways. Invariant: a
-//! notice is news once in the time for which it holds. Without that it would go round for ever.
+//! Entries flood these notices to their neighbours, so each arrives several times. Invariant: a
+//! notice counts as new once while it is valid. Otherwise it would circulate for ever.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,38 +13,38 @@
 use crate::run::BatchId;
 use crate::run_message::ClosingBatch;
 
-/// Notices that are remembered at the most: a wave of callers that leave is a few hundred a second.
-const MOST_NOTICES: usize = 20_000;
+/// Largest number of notices kept.
+const MAX_NOTICES: usize = 20_000;
 
-/// What is known of a batch that is being closed.
+/// State of a batch that another entry is closing.
 #[derive(Debug, Clone, Copy)]
 struct Notice {
-    /// By then it must be over.
+    /// Time by which its runs must be over.
     until: Now,
-    /// Whether it is.
+    /// Whether its runs are known to be over.
     is_over: bool,
 }
 
-/// See the module.
+/// Closing notices by batch and closing entry.
 #[derive(Debug, Default)]
 pub struct PeerClosings {
     notices: BTreeMap<ClosingBatch, Notice>,
 }
 
 impl PeerClosings {
-    /// Notes that a batch is being closed at another entry, which takes `bound` at the most; says
-    /// whether that is news.
+    /// Records that another entry is closing a batch, which takes at most `bound`. Returns whether
+    /// the notice is new.
     pub fn note(&mut self, now: Now, closing: ClosingBatch, bound: Duration) -> bool {
         let until = now + bound;
         let notice = Notice {
             until,
             is_over: false,
         };
-        !self.is_known(now, closing) && self.remember(now, closing, notice)
+        !self.is_known(now, closing) && self.insert(now, closing, notice)
     }
 
-    /// Notes that nothing of a batch runs at that entry any more, `bound` after which nobody says
-    /// otherwise; says whether that is news.
+    /// Records that the batch has no open runs at that entry any more. An unknown notice is kept
+    /// for `bound`. Returns whether this ends a notice that was still open.
     pub fn over(&mut self, now: Now, closing: ClosingBatch, bound: Duration) -> bool {
         if let Some(notice) = self.notices.get_mut(&closing) {
             return !std::mem::replace(&mut notice.is_over, true);
@@ -53,7 +53,7 @@
             until: now + bound,
             is_over: true,
         };
-        self.remember(now, closing, notice);
+        self.insert(now, closing, notice);
         false
     }
 
@@ -62,28 +62,28 @@
         notice.is_some_and(|notice| notice.until > now)
     }
 
-    fn remember(&mut self, now: Now, closing: ClosingBatch, notice: Notice) -> bool {
-        if self.notices.len() >= MOST_NOTICES {
+    fn insert(&mut self, now: Now, closing: ClosingBatch, notice: Notice) -> bool {
+        if self.notices.len() >= MAX_NOTICES {
             self.notices.retain(|_, notice| notice.until > now);
         }
-        let has_room = self.notices.len() < MOST_NOTICES;
-        if has_room {
+        let has_capacity = self.notices.len() < MAX_NOTICES;
+        if has_capacity {
             self.notices.insert(closing, notice);
         }
-        has_room
+        has_capacity
     }
 
-    /// Notices that still hold, for a neighbour that has not heard them.
+    /// Returns the notices that are valid and not over, for sending to a new neighbour.
     pub fn open(&self, now: Now) -> impl Iterator<Item = ClosingBatch> {
         let notices = self.notices.iter();
         let open = notices.filter(move |(_, notice)| !notice.is_over && notice.until > now);
         open.map(|(closing, _)| *closing)
     }
 
-    /// Until when a batch must be held, if it must.
+    /// Returns until when a batch is blocked; `None` if it isn't.
     pub fn blocked_until(&self, now: Now, id: BatchId) -> Option<Now> {
-        let of = |entry| ClosingBatch { batch: id, entry };
-        let notices = self.notices.range(of(u64::MIN)..=of(u64::MAX));
+        let key = |entry| ClosingBatch { batch: id, entry };
+        let notices = self.notices.range(key(u64::MIN)..=key(u64::MAX));
         let open = notices.filter(|(_, notice)| !notice.is_over);
         let latest = open.map(|(_, notice)| notice.until).max();
         latest.filter(|until| *until > now)
--- a/lib/src/queue.rs
+++ b/lib/src/queue.rs
@@ -1,56 +1,56 @@
-//! The operators' configuration: queues of batches, by host and path.
+//! The operators' configuration: batch queues, selected by host and path.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Version of a configuration. Versions rise, with gaps.
+/// Version of a configuration. Versions increase and may skip numbers.
 pub type ConfigVersion = u64;
 
-/// One queue.
+/// A batch queue: the requests it serves, its service and its objective.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue.
     pub name: Arc<str>,
-    /// Host that callers name.
+    /// Host that requests must name.
     pub host: String,
-    /// Start of the path.
+    /// Prefix that the request path must have.
     pub path_prefix: String,
     /// The service whose targets run the tasks.
     pub service: Arc<str>,
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Failed runs of one task after which the batch has failed.
+    /// Number of failed runs of one task that fails the batch.
     pub max_attempts: u32,
-    /// Factor on the batch's longest chain of work in its objective.
+    /// Factor applied to the batch's critical path to compute its objective.
     pub stretch: f64,
-    /// Time on top of the stretched work in the objective.
+    /// Constant time added to the stretched critical path in the objective.
     pub target_latency: Duration,
     /// Whether only targets named by the platform's advice may run its steps.
     pub needs_advice: bool,
 }
 
-/// Bounds for requests.
+/// Limits on requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestLimits {
     /// Largest body in bytes.
     pub body_bytes: usize,
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QueueTable {
-    /// Its version.
+    /// Version of the configuration.
     pub version: ConfigVersion,
-    /// The queues.
+    /// All queues.
     pub queues: Vec<Arc<Queue>>,
-    /// Bounds for requests.
+    /// Limits on requests.
     pub limits: RequestLimits,
 }
 
 impl QueueTable {
-    /// The queue that a request belongs to: same host, longest prefix of the path.
+    /// Returns the queue with the request's host and the longest matching path prefix.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Queue>> {
         let matching = self
             .queues
@@ -60,14 +60,14 @@
     }
 }
 
-/// The configuration in force at one process. It never goes back in one life.
+/// The configuration in force in one process. Its version never decreases within an incarnation.
 #[derive(Debug, Default)]
 pub struct ConfigInForce {
     table: Option<Arc<QueueTable>>,
 }
 
 impl ConfigInForce {
-    /// Takes a table in force if it is newer; says whether it was.
+    /// Adopts `table` if it is newer; returns whether it was.
     pub fn offer(&mut self, table: &Arc<QueueTable>) -> bool {
         let is_newer = table.version > self.version();
         if is_newer {
@@ -76,12 +76,12 @@
         is_newer
     }
 
-    /// The table, if there is one yet.
+    /// Returns the table in force, if any.
     pub fn table(&self) -> Option<&Arc<QueueTable>> {
         self.table.as_ref()
     }
 
-    /// Its version; 0 without one.
+    /// Returns the version in force, or 0 if there is no configuration yet.
     pub fn version(&self) -> ConfigVersion {
         self.table.as_ref().map_or(0, |t| t.version)
     }
--- a/lib/src/resources.rs
+++ b/lib/src/resources.rs
@@ -1,4 +1,4 @@
-//! What a task needs and a target has: processor, memory, accelerators.
+//! Amounts of processor, memory and accelerators: what a task needs or a target offers.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,21 +17,21 @@
 }
 
 impl Resources {
-    /// Nothing of anything.
+    /// No resources.
     pub const NONE: Self = Self {
         cpu_millis: 0,
         memory_mib: 0,
         accelerators: 0,
     };
 
-    /// Whether `room` holds all of this.
-    pub fn fits_in(self, room: Self) -> bool {
-        self.cpu_millis <= room.cpu_millis
-            && self.memory_mib <= room.memory_mib
-            && self.accelerators <= room.accelerators
+    /// Returns whether `capacity` covers this amount of every resource.
+    pub fn fits_in(self, capacity: Self) -> bool {
+        self.cpu_millis <= capacity.cpu_millis
+            && self.memory_mib <= capacity.memory_mib
+            && self.accelerators <= capacity.accelerators
     }
 
-    /// Both amounts together.
+    /// Returns the sum of both amounts.
     #[must_use]
     pub fn plus(self, other: Self) -> Self {
         Self {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// What is left after taking `other` away; never below nothing.
+    /// Subtracts `other`, saturating at zero.
     #[must_use]
     pub fn minus(self, other: Self) -> Self {
         Self {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// This many times as much.
+    /// Multiplies each amount by `factor`.
     #[must_use]
     pub fn times(self, factor: u64) -> Self {
         Self {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// An equal part of this, rounded down. `parts` must not be 0.
+    /// Divides each amount by `parts`, rounding down. `parts` must not be 0.
     #[must_use]
     pub fn divided_by(self, parts: u64) -> Self {
         Self {
@@ -71,21 +71,21 @@
         }
     }
 
-    /// How many times this fits in `room`; without end if it is nothing.
-    pub fn times_in(self, room: Self) -> u64 {
+    /// Returns how many times this fits in `capacity`; `u64::MAX` if this is empty.
+    pub fn times_in(self, capacity: Self) -> u64 {
         let kinds = [
-            (self.cpu_millis, room.cpu_millis),
-            (self.memory_mib, room.memory_mib),
-            (self.accelerators, room.accelerators),
+            (self.cpu_millis, capacity.cpu_millis),
+            (self.memory_mib, capacity.memory_mib),
+            (self.accelerators, capacity.accelerators),
         ];
         let times = kinds.into_iter().filter(|(part, _)| *part > 0);
         times
-            .map(|(part, room)| room / part)
+            .map(|(part, capacity)| capacity / part)
             .min()
             .unwrap_or(u64::MAX)
     }
 
-    /// The largest share that this takes of any resource of `whole`, from 0 to 1 where it fits.
+    /// Returns the largest share of any resource of `whole` that this takes: 0 to 1 if it fits.
     pub fn share_of(self, whole: Self) -> f64 {
         let shares = [
             (self.cpu_millis, whole.cpu_millis),
