--- a/lib/src/preferred_entries.rs
+++ b/lib/src/preferred_entries.rs
@@ -1,13 +1,12 @@
-//! Which entries a process keeps links to: its homes.
+//! Chooses the entries to which a process keeps links: its preferred entries.
 //!
-//! A link costs both sides heartbeats, news and a handshake, whether work travels on it or not. So a
-//! process of a large fleet links to some entries only. Each works them out for itself from the
-//! addresses that it knows: it ranks them by a hash of its own name and the address (rendezvous
-//! hashing), so that entries get equal shares without talking to anybody, and a VM that comes or goes
-//! moves no other links than its own.
+//! Every link costs both sides heartbeats, news and a handshake, so a process of a large fleet
+//! links to only a few entries. It ranks the known addresses by a hash of its own name and the
+//! address (rendezvous hashing). This spreads links evenly without coordination, and a VM that
+//! joins or leaves moves only its own links.
 //!
-//! Links are no proof of anything: every order is checked by the agent, and the chain of times
-//! holds whoever is linked. Losing a home costs an entry a target, never a promise.
+//! Correctness does not depend on links: the agent checks every order, and leases expire whether or
+//! not a link exists. An entry that loses a link loses only the use of a target.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,192 +16,191 @@
 
 use crate::ids::{Now, SessionId};
 
-/// Fleets of up to so many entries: everybody links to everybody.
+/// Largest number of known entries with which every process links to all entries.
 pub const FULL_MESH_LIMIT: usize = 12;
-/// Links that an agent keeps in larger ones. With half of the entries gone, one target in 4,000 has
-/// no living home.
+/// Number of links that an agent keeps in a larger fleet. If half of the entries fail, nearly every
+/// target still has one.
 pub const PREFERRED_COUNT: usize = 12;
-/// A home that was linked is waited for this long before another entry takes its place: a process
-/// that is started again is back within it.
-const WAIT_FOR_LOST: Duration = Duration::from_millis(1_000);
-/// A dialled address counts as missing after this long: four tries.
-const WAIT_FOR_DIALLED: Duration = Duration::from_millis(300);
-/// Pause between two tries at a missing address.
-const RETRY: Duration = Duration::from_millis(1_000);
-/// The same once it has been missing for [`LONG_GONE`].
-const RETRY_GONE: Duration = Duration::from_secs(3);
-/// See [`RETRY_GONE`].
+/// How long a preferred entry that lost its link may take to return before another entry replaces
+/// it. A restarted process is back within this time.
+const RECONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long a dialled address may take to answer before it counts as missing.
+const DIAL_TIMEOUT: Duration = Duration::from_millis(300);
+/// Pause before a missing address is dialled again.
+const RETRY_PAUSE: Duration = Duration::from_millis(1_000);
+/// Pause before an address is dialled again that has been missing for [`LONG_GONE`].
+const LONG_GONE_RETRY_PAUSE: Duration = Duration::from_secs(3);
+/// Time without a link after which an address is dialled less often.
 const LONG_GONE: Duration = Duration::from_secs(10);
-/// Links beyond those wanted are kept for so long, for a home that has just come back may go again.
-const KEEP_SURPLUS: Duration = Duration::from_millis(2_000);
-/// A parting link on which runs still depend is looked at again after this.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+/// How long surplus links are kept, because a preferred entry that has just returned may fail
+/// again.
+const SURPLUS_GRACE: Duration = Duration::from_millis(2_000);
+/// Interval at which a draining link is checked for runs that still depend on it.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Place of an address in an agent's ranking; the least comes first.
+/// Rank of an address for a process; the lowest is preferred most.
 type Rank = u64;
 
-/// Where a known address stands.
+/// State of a known address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Standing {
-    /// Not wanted now, or missing; to be tried at this time at the earliest.
+enum AddressState {
+    /// Not dialled; may be dialled from `retry_at` on.
     Idle { retry_at: Now },
-    /// Dialled; missing if there is no link by then.
+    /// Dialled; counts as missing if there is no link at `missing_at`.
     Dialled { missing_at: Now },
-    /// Linked.
+    /// Connected by a link that may carry new work.
     Linked { link: SessionId },
-    /// Linked, but told that it is to send no more work; given up then at the earliest.
+    /// Connected, but the entry was told to send no more work; closed at `until` at the earliest.
     Draining { link: SessionId, until: Now },
 }
 
 #[derive(Debug)]
-struct Known {
+struct KnownEntry {
     rank: Rank,
-    standing: Standing,
-    /// When it was last linked, or learnt.
+    state: AddressState,
+    /// When it was last linked, or when it was learnt if it never was.
     last_linked: Now,
 }
 
-impl Known {
+impl KnownEntry {
     fn is_linked(&self) -> bool {
-        matches!(self.standing, Standing::Linked { .. })
+        matches!(self.state, AddressState::Linked { .. })
     }
 
     fn is_dialled(&self) -> bool {
-        matches!(self.standing, Standing::Dialled { .. })
+        matches!(self.state, AddressState::Dialled { .. })
     }
 }
 
-/// What is to be done about links.
+/// An action on a link that the caller must carry out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkStep {
-    /// Keep a connection to this address from now on.
+    /// Establish a connection to this address and keep it up.
     Dial(SocketAddr),
-    /// Keep none any more, and close the link if there is one.
+    /// Stop keeping a connection to this address, and close the link if there is one.
     Disconnect(SocketAddr, Option<SessionId>),
-    /// Tell the entry behind this link that it gets no more work.
+    /// Tell the entry behind this link to send no more work.
     Drain(SessionId),
 }
 
-/// See the module.
+/// The known entry addresses of a process and the state of its link to each.
 #[derive(Debug)]
 pub struct PreferredEntries {
     /// Name of the process.
     name: Box<str>,
-    /// Links that are wanted.
+    /// Number of links to keep in a large fleet.
     wanted: usize,
-    known: BTreeMap<SocketAddr, Known>,
-    /// Since when there have been more links than wanted.
+    known: BTreeMap<SocketAddr, KnownEntry>,
+    /// When the number of links began to exceed `wanted`.
     surplus_since: Option<Now>,
-    /// When there is something to do next, as far as is known.
-    look_at: Option<Now>,
-    /// How long a parting link stays, so that no order is on its way.
-    part_for: Duration,
+    /// When the next step is due, or `None` if only an event can cause one.
+    next_step_at: Option<Now>,
+    /// How long a draining link stays open, so that orders in transit still arrive.
+    drain_for: Duration,
 }
 
 impl PreferredEntries {
-    /// Of a process that knows no entries and wants so many links. A link that is given up stays for
-    /// `part_for` after its entry was told: no order may be on its way longer than that.
-    pub fn new(name: &str, wanted: usize, part_for: Duration) -> Self {
+    /// Creates the state of a process that knows no entries and keeps `wanted` links. A draining
+    /// link stays open for `drain_for` after its entry was told, which must exceed an order's
+    /// transit time.
+    pub fn new(name: &str, wanted: usize, drain_for: Duration) -> Self {
         Self {
             name: name.into(),
             wanted,
             known: BTreeMap::new(),
             surplus_since: None,
-            look_at: None,
-            part_for,
+            next_step_at: None,
+            drain_for,
         }
     }
 
-    /// Learns addresses of entries.
+    /// Adds addresses of entries.
     pub fn learn(&mut self, now: Now, addresses: impl IntoIterator<Item = SocketAddr>) {
         for address in addresses {
             if self.known.contains_key(&address) {
                 continue;
             }
-            let known = Known {
+            let known = KnownEntry {
                 rank: rank(&self.name, address),
-                standing: Standing::Idle { retry_at: now },
+                state: AddressState::Idle { retry_at: now },
                 last_linked: now,
             };
             self.known.insert(address, known);
-            self.look_at = Some(now);
+            self.next_step_at = Some(now);
         }
     }
 
-    /// Notes a link.
+    /// Records a new link.
     pub fn link_up(&mut self, now: Now, address: SocketAddr, link: SessionId) {
         self.learn(now, [address]);
         if let Some(known) = self.known.get_mut(&address) {
-            known.standing = Standing::Linked { link };
+            known.state = AddressState::Linked { link };
             known.last_linked = now;
         }
-        self.look_at = Some(now);
+        self.next_step_at = Some(now);
     }
 
-    /// Notes that a link is gone.
+    /// Records that a link is gone.
     pub fn link_down(&mut self, now: Now, link: SessionId) {
-        self.look_at = Some(now);
+        self.next_step_at = Some(now);
         for known in self.known.values_mut() {
-            match known.standing {
-                Standing::Linked { link: l } if l == link => {
+            match known.state {
+                AddressState::Linked { link: l } if l == link => {
                     known.last_linked = now;
-                    let missing_at = now + WAIT_FOR_LOST;
-                    known.standing = Standing::Dialled { missing_at };
+                    let missing_at = now + RECONNECT_TIMEOUT;
+                    known.state = AddressState::Dialled { missing_at };
                 }
-                Standing::Draining { link: l, .. } if l == link => {
-                    // It is still dialled; the next step hangs up.
-                    known.standing = Standing::Dialled { missing_at: now };
+                AddressState::Draining { link: l, .. } if l == link => {
+                    // The address is still dialled; the next step disconnects it.
+                    known.state = AddressState::Dialled { missing_at: now };
                 }
                 _ => {}
             }
         }
     }
 
-    /// What is to be done now. `is_needed` says whether runs depend on a link.
+    /// Returns the steps that are due. `is_needed` tells whether runs depend on a link.
     pub fn steps(&mut self, now: Now, is_needed: impl Fn(SessionId) -> bool) -> Vec<LinkStep> {
         let mut steps = Vec::new();
-        if self.look_at.is_none_or(|at| at > now) {
+        if self.next_step_at.is_none_or(|at| at > now) {
             return steps;
         }
         if self.known.len() <= FULL_MESH_LIMIT {
             self.dial_all(now, &mut steps);
-            self.look_at = None;
+            self.next_step_at = None;
             return steps;
         }
         self.give_up_missing(now, &mut steps);
-        self.end_parting(now, is_needed, &mut steps);
+        self.end_draining(now, is_needed, &mut steps);
         self.dial_ranked(now, &mut steps);
-        self.part_with_surplus(now, &mut steps);
-        self.look_at = self.next_look();
+        self.drain_surplus(now, &mut steps);
+        self.next_step_at = self.compute_next_step();
         steps
     }
 
-    /// When [`PreferredEntries::steps`] has something to do next, unless something is told before.
+    /// When [`PreferredEntries::steps`] must be called next, if no event comes before.
     pub fn next_wake(&self) -> Option<Now> {
-        self.look_at
+        self.next_step_at
     }
 
-    fn next_look(&self) -> Option<Now> {
+    fn compute_next_step(&self) -> Option<Now> {
         let last_wanted = self.last_wanted();
-        let times = self
-            .known
-            .values()
-            .filter_map(|known| match known.standing {
-                Standing::Idle { retry_at } => Some(retry_at).filter(|_| known.rank <= last_wanted),
-                Standing::Dialled { missing_at } => Some(missing_at),
-                Standing::Linked { .. } => None,
-                Standing::Draining { until, .. } => Some(until),
-            });
-        let surplus = self.surplus_since.map(|since| since + KEEP_SURPLUS);
+        let times = self.known.values().filter_map(|known| match known.state {
+            AddressState::Idle { retry_at } => Some(retry_at).filter(|_| known.rank <= last_wanted),
+            AddressState::Dialled { missing_at } => Some(missing_at),
+            AddressState::Linked { .. } => None,
+            AddressState::Draining { until, .. } => Some(until),
+        });
+        let surplus = self.surplus_since.map(|since| since + SURPLUS_GRACE);
         times.chain(surplus).min()
     }
 
-    /// In a small fleet every address is dialled for good.
+    /// Dials every address permanently; used in small fleets.
     fn dial_all(&mut self, now: Now, steps: &mut Vec<LinkStep>) {
         for (address, known) in &mut self.known {
-            if let Standing::Idle { .. } = known.standing {
-                known.standing = Standing::Dialled {
-                    missing_at: now + WAIT_FOR_DIALLED,
+            if let AddressState::Idle { .. } = known.state {
+                known.state = AddressState::Dialled {
+                    missing_at: now + DIAL_TIMEOUT,
                 };
                 steps.push(LinkStep::Dial(*address));
             }
@@ -211,13 +209,17 @@
 
     fn give_up_missing(&mut self, now: Now, steps: &mut Vec<LinkStep>) {
         for (address, known) in &mut self.known {
-            let Standing::Dialled { missing_at } = known.standing else {
+            let AddressState::Dialled { missing_at } = known.state else {
                 continue;
             };
             if missing_at <= now {
                 let is_long_gone = known.last_linked + LONG_GONE <= now;
-                let pause = if is_long_gone { RETRY_GONE } else { RETRY };
-                known.standing = Standing::Idle {
+                let pause = if is_long_gone {
+                    LONG_GONE_RETRY_PAUSE
+                } else {
+                    RETRY_PAUSE
+                };
+                known.state = AddressState::Idle {
                     retry_at: now + pause,
                 };
                 steps.push(LinkStep::Disconnect(*address, None));
@@ -225,35 +227,35 @@
         }
     }
 
-    fn end_parting(
+    fn end_draining(
         &mut self,
         now: Now,
         is_needed: impl Fn(SessionId) -> bool,
         steps: &mut Vec<LinkStep>,
     ) {
         for (address, known) in &mut self.known {
-            let Standing::Draining { link, until } = known.standing else {
+            let AddressState::Draining { link, until } = known.state else {
                 continue;
             };
             if until > now {
                 continue;
             }
             if is_needed(link) {
-                let until = now + LOOK_AGAIN;
-                known.standing = Standing::Draining { link, until };
+                let until = now + DRAIN_CHECK_INTERVAL;
+                known.state = AddressState::Draining { link, until };
             } else {
-                known.standing = Standing::Idle { retry_at: now };
+                known.state = AddressState::Idle { retry_at: now };
                 steps.push(LinkStep::Disconnect(*address, Some(link)));
             }
         }
     }
 
-    fn count(&self, is_counted: impl Fn(&Known) -> bool) -> usize {
+    fn count(&self, is_counted: impl Fn(&KnownEntry) -> bool) -> usize {
         self.known.values().filter(|k| is_counted(k)).count()
     }
 
-    /// Rank up to which idle addresses are dialled: that of the last home, or any while links are
-    /// missing.
+    /// Highest rank up to which idle addresses are dialled: that of the last preferred entry, or
+    /// any rank while there are too few links.
     fn last_wanted(&self) -> Rank {
         let kept = self.count(|k| k.is_linked() || k.is_dialled());
         if kept < self.wanted {
@@ -263,7 +265,7 @@
         }
     }
 
-    /// Rank of the last home, whoever lives.
+    /// Rank of the last preferred entry, whether or not it is reachable.
     fn last_rank(&self) -> Rank {
         let mut ranks: Vec<Rank> = self.known.values().map(|k| k.rank).collect();
         if ranks.len() < self.wanted {
@@ -273,13 +275,13 @@
         *last
     }
 
-    /// Dials the homes that are not linked, and others for as many as are missing. Those that have
-    /// waited longest go first, or addresses that nobody answers at would keep the rest from being
-    /// tried.
+    /// Dials the preferred entries that are not linked, and one other address for each that is
+    /// missing. The addresses that have waited longest come first; otherwise unreachable addresses
+    /// would keep the rest from being dialled.
     fn dial_ranked(&mut self, now: Now, steps: &mut Vec<LinkStep>) {
         let mut due: Vec<(Now, Rank, SocketAddr)> = Vec::new();
         for (address, known) in &self.known {
-            if let Standing::Idle { retry_at } = known.standing
+            if let AddressState::Idle { retry_at } = known.state
                 && retry_at <= now
             {
                 due.push((retry_at, known.rank, *address));
@@ -294,36 +296,37 @@
             }
             kept += 1;
             if let Some(known) = self.known.get_mut(&address) {
-                let missing_at = now + WAIT_FOR_DIALLED;
-                known.standing = Standing::Dialled { missing_at };
+                let missing_at = now + DIAL_TIMEOUT;
+                known.state = AddressState::Dialled { missing_at };
             }
             steps.push(LinkStep::Dial(address));
         }
     }
 
-    /// Gives up the last in rank of more links than wanted, once that has stood for a while.
-    fn part_with_surplus(&mut self, now: Now, steps: &mut Vec<LinkStep>) {
-        let linked = self.count(Known::is_linked);
+    /// Drains the links with the highest ranks once there have been more than wanted for
+    /// [`SURPLUS_GRACE`].
+    fn drain_surplus(&mut self, now: Now, steps: &mut Vec<LinkStep>) {
+        let linked = self.count(KnownEntry::is_linked);
         if linked <= self.wanted {
             self.surplus_since = None;
             return;
         }
         let since = *self.surplus_since.get_or_insert(now);
-        if since + KEEP_SURPLUS > now {
+        if since + SURPLUS_GRACE > now {
             return;
         }
         self.surplus_since = None;
         let mut links: Vec<(Rank, SocketAddr, SessionId)> = Vec::new();
         for (address, known) in &self.known {
-            if let Standing::Linked { link } = known.standing {
+            if let AddressState::Linked { link } = known.state {
                 links.push((known.rank, *address, link));
             }
         }
         links.sort_unstable();
         for (_, address, link) in links.split_off(self.wanted) {
             if let Some(known) = self.known.get_mut(&address) {
-                let until = now + self.part_for;
-                known.standing = Standing::Draining { link, until };
+                let until = now + self.drain_for;
+                known.state = AddressState::Draining { link, until };
             }
             steps.push(LinkStep::Drain(link));
         }
--- a/lib/src/target_health.rs
+++ b/lib/src/target_health.rs
@@ -1,7 +1,7 @@
-//! How well a target serves: the share of runs that fail and the pace of the others.
+//! Health of a target: the share of runs that fail and the slowdown of the others.
 //!
-//! The agent counts, for it sees the runs of all entries, and tells the result with every packet.
-//! Entries that each counted for themselves would each lose tasks to a bad target before they knew.
+//! The agent computes it from the runs of all entries and reports it in every packet. If each entry
+//! computed its own, each would lose tasks to a bad target before it noticed.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,38 +11,39 @@
 use crate::ids::Now;
 use crate::run::BatchId;
 
-/// Weight of one run in the average of run time over estimate.
-const PACE_WEIGHT: f64 = 0.15;
-/// The same for a target that is far too slow: its few probes must bring it back within seconds.
-const PROBE_WEIGHT: f64 = 0.5;
-/// Share of failed runs, averaged, above which a target is set aside.
-const FAILING: f64 = 0.45;
-/// Weight of one run in the average share of failures: two failures in a row set a target aside.
+/// Weight of one run in the average slowdown.
+const SLOWDOWN_WEIGHT: f64 = 0.15;
+/// Weight of one run in the average slowdown of a target that is far too slow. It gets few probes,
+/// which must readmit it within seconds.
+const PROBE_SLOWDOWN_WEIGHT: f64 = 0.5;
+/// Average share of failed runs above which a target is ejected.
+const MAX_FAILURE_SHARE: f64 = 0.45;
+/// Weight of one run in the average share of failures. Two failures in a row eject a target.
 const FAILURE_WEIGHT: f64 = 0.3;
-/// Slowest and fastest pace that is believed.
-const PACE_BOUNDS: (f64, f64) = (0.3, 30.0);
-/// Slowest pace that one run which ended is believed to show: its estimate may be far off.
-const SLOWEST_ENDED: f64 = 3.0;
-/// Slow runs of two batches within this show that the target is slow, not the estimates.
-const SUSPECT_FOR: Duration = Duration::from_secs(2);
-/// A run of which so little is done, in percent, stands still.
-const STANDS_STILL: u32 = 3;
-/// A target this much slower than the fastest gets only probes.
-pub const TOO_SLOW: f64 = 2.6;
-
-/// What an agent tells of its target's health.
+/// Bounds to which the slowdown of a run is clamped.
+const SLOWDOWN_BOUNDS: (f64, f64) = (0.3, 30.0);
+/// Upper bound for the slowdown of a finished run, because its estimate may be far off.
+const MAX_FINISHED_SLOWDOWN: f64 = 3.0;
+/// Slow runs of two batches within this time count as a slow target and not as wrong estimates.
+const SLOW_BATCH_WINDOW: Duration = Duration::from_secs(2);
+/// Progress in percent below which a slow run counts as stalled.
+const STALLED_PERCENT: u32 = 3;
+/// A target whose slowdown exceeds that of the fastest by this factor gets only probes.
+pub const MAX_SLOWDOWN_RATIO: f64 = 2.6;
+
+/// Health of a target as its agent reports it to entries.
 #[derive(Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HealthReport {
-    /// Run time over estimate, averaged, in percent.
+    /// Average ratio of run time to estimate, in percent.
     #[serde(rename = "p")]
     pub pace_percent: u16,
-    /// Share of runs that failed, averaged, in percent.
+    /// Average share of runs that failed, in percent.
     #[serde(rename = "f")]
     pub failed_percent: u8,
 }
 
 impl Default for HealthReport {
-    /// Of a target that nothing is known of.
+    /// Health of a target about which nothing is known.
     fn default() -> Self {
         Self {
             pace_percent: 100,
@@ -53,7 +54,7 @@
 
 impl fmt::Debug for HealthReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // The log format keeps this name.
+        // Log lines contain this name.
         f.debug_struct("HealthWord")
             .field("pace_percent", &self.pace_percent)
             .field("failed_percent", &self.failed_percent)
@@ -62,32 +63,32 @@
 }
 
 impl HealthReport {
-    /// Run time over estimate, averaged.
+    /// Average ratio of run time to estimate.
     pub fn slowdown(&self) -> f64 {
         f64::from(self.pace_percent) / 100.0
     }
 
-    /// Whether the target fails so often that it gets only probes.
+    /// Whether the target is to get only probes because its runs fail too often.
     pub fn fails_too_often(&self) -> bool {
-        f64::from(self.failed_percent) / 100.0 > FAILING
+        f64::from(self.failed_percent) / 100.0 > MAX_FAILURE_SHARE
     }
 }
 
-/// A run that is slow.
+/// Speed and progress of a run that is slower than estimated.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlowRun {
-    /// The share of its estimate that it would take.
+    /// Ratio of its projected run time to its estimate.
     pub slowdown: f64,
-    /// How much of it is done, in percent.
+    /// Progress in percent.
     pub percent: u32,
 }
 
-/// See the module.
+/// Running averages of a target's slowdown and failures.
 #[derive(Debug)]
 pub struct TargetHealth {
     slowdown: f64,
     failures: f64,
-    /// Batch of which a run was found slow last, and when.
+    /// Batch of the last slow run, and the time when it was found slow.
     slow_batch: Option<(BatchId, Now)>,
 }
 
@@ -102,40 +103,40 @@
 }
 
 impl TargetHealth {
-    /// A run ended well, in this share of its estimate.
+    /// Records a run that succeeded; `slowdown` is the ratio of its run time to its estimate.
     pub fn run_done(&mut self, slowdown: f64) {
         self.failures *= 1.0 - FAILURE_WEIGHT;
-        self.learn_pace(slowdown.min(SLOWEST_ENDED));
+        self.update_slowdown(slowdown.min(MAX_FINISHED_SLOWDOWN));
     }
 
-    /// A run failed.
+    /// Records a run that failed.
     pub fn run_failed(&mut self) {
         self.failures += FAILURE_WEIGHT * (1.0 - self.failures);
     }
 
-    /// A run of a batch is slow. It counts against the target if the run stands still or another
-    /// batch's was slow there of late.
+    /// Records a slow run of a batch. It counts against the target if the run is stalled or if a
+    /// run of another batch was slow there recently.
     pub fn run_slow(&mut self, now: Now, batch: BatchId, run: SlowRun) {
-        let is_suspect = self
+        let is_second_batch = self
             .slow_batch
-            .is_some_and(|(before, at)| before != batch && at + SUSPECT_FOR > now);
+            .is_some_and(|(before, at)| before != batch && at + SLOW_BATCH_WINDOW > now);
         self.slow_batch = Some((batch, now));
-        if is_suspect || run.percent < STANDS_STILL {
-            self.learn_pace(run.slowdown.max(self.slowdown));
+        if is_second_batch || run.percent < STALLED_PERCENT {
+            self.update_slowdown(run.slowdown.max(self.slowdown));
         }
     }
 
-    fn learn_pace(&mut self, slowdown: f64) {
-        let slowdown = slowdown.clamp(PACE_BOUNDS.0, PACE_BOUNDS.1);
-        let weight = if self.slowdown > TOO_SLOW {
-            PROBE_WEIGHT
+    fn update_slowdown(&mut self, slowdown: f64) {
+        let slowdown = slowdown.clamp(SLOWDOWN_BOUNDS.0, SLOWDOWN_BOUNDS.1);
+        let weight = if self.slowdown > MAX_SLOWDOWN_RATIO {
+            PROBE_SLOWDOWN_WEIGHT
         } else {
-            PACE_WEIGHT
+            SLOWDOWN_WEIGHT
         };
         self.slowdown += weight * (slowdown - self.slowdown);
     }
 
-    /// What entries are told.
+    /// The report for entries.
     pub fn word(&self) -> HealthReport {
         HealthReport {
             pace_percent: (self.slowdown * 100.0).round() as u16,
--- a/lib/src/target_registry.rs
+++ b/lib/src/target_registry.rs
@@ -1,8 +1,8 @@
-//! An entry's picture of the targets: what is free, how fast each is, and which to give work.
+//! An entry's view of the targets: their free capacity and speed, and which target gets a task.
 //!
-//! A target's free resources are the agent's last word less what this entry has sent since. Other
-//! entries' orders show only in the agent's next packet, so an order may find no room; the agent
-//! then says so and the task goes elsewhere.
+//! A target's free capacity is the agent's last load report minus the starts sent since. Orders of
+//! other entries show only in the agent's next packet. An order may therefore exceed the capacity;
+//! the agent then refuses it and the entry places the task again.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -16,104 +16,105 @@
 use crate::queue::Queue;
 use crate::resources::Resources;
 use crate::run_message::{AgentMillis, TargetInfo};
-use crate::target_health::{HealthReport, TOO_SLOW};
-
-/// An agent that has not been heard for so long gets no work: two heartbeats and a half.
-const FRESH: Duration = Duration::from_millis(650);
-/// An outcast, which fails what it starts or is far too slow, gets one task of each entry in this
-/// time. A time and not an answer paces probes: a probe may be stopped before it tells anything.
-const PROBE_EVERY: Duration = Duration::from_millis(600);
-/// Time between two probes of one outcast by any of the entries. All of them learn from each, and
-/// every probe may cost a batch its time.
-const PROBE_APART: Duration = Duration::from_millis(150);
-/// A target that refused a start as unwell or silent gets none for this long.
-const UNWELL_PAUSE: Duration = Duration::from_millis(250);
-/// A target in doubt gets none for this long: its agent asks it again at once, and has an answer
-/// within a few milliseconds or knows better.
-const DOUBT_PAUSE: Duration = Duration::from_millis(15);
-/// Cost of a full target over an empty one, as a share of the run time: agents obey orders in
-/// turn, and a spread batch is hurt less by one bad target.
-const CROWD_COST: f64 = 0.35;
-/// Cost of a target that would be filled to the brim: another entry may have filled it meanwhile,
-/// and an order that finds no room costs about 10 ms.
-const TIGHT_COST: f64 = 0.15;
-/// Share of a target that is left free where it does not count as tight.
-const TIGHT_SHARE: f64 = 0.1;
-/// Cost of one order that the agent has not confirmed yet: the time it takes an agent to obey it,
-/// about 4 ms, over the shortest usual task, 60 ms.
-const QUEUED_COST: f64 = 0.05;
-/// Most that is added by chance to the cost of a target of which nothing was heard for
-/// [`STALE_AFTER`] and longer. What is known of it was told to other entries as well, who have sent
-/// their work there since; entries go apart by chance.
-const STALE_COST: f64 = 0.7;
-/// See [`STALE_COST`].
+use crate::target_health::{HealthReport, MAX_SLOWDOWN_RATIO};
+
+/// An agent that has been silent for this long (2.5 heartbeats) gets no work.
+const AGENT_SILENCE_LIMIT: Duration = Duration::from_millis(650);
+/// Time between two probes of an ejected target by one entry. Probes follow a timer and not
+/// results, because a probe may be stopped before it yields a result.
+const PROBE_INTERVAL: Duration = Duration::from_millis(600);
+/// Minimum average time between two probes of an ejected target by all entries together. All
+/// entries learn from each probe, and a probe may delay a batch.
+const PROBE_SPACING: Duration = Duration::from_millis(150);
+/// How long a target gets no work after it refused a start as unhealthy.
+const UNHEALTHY_PAUSE: Duration = Duration::from_millis(250);
+/// How long a target gets no work after it left a call unanswered. Its agent calls it again at
+/// once and knows its state within a few milliseconds.
+const DOUBTFUL_PAUSE: Duration = Duration::from_millis(15);
+/// Extra cost of a full target over an empty one, as a share of the run time. It spreads a batch:
+/// agents execute orders one by one, and one bad target then affects fewer tasks.
+const UTILIZATION_COST: f64 = 0.35;
+/// Extra cost of a target that the task would nearly fill. Another entry may have filled it
+/// meanwhile, and a refused order costs time.
+const NEARLY_FULL_COST: f64 = 0.15;
+/// Free share of a target's capacity below which it counts as nearly full.
+const NEARLY_FULL_SHARE: f64 = 0.1;
+/// Extra cost per start that the agent has not confirmed yet: the time that an agent needs for an
+/// order, as a share of a short task's run time.
+const UNCONFIRMED_START_COST: f64 = 0.05;
+/// Upper bound of the random cost that is added for a load report of age [`STALE_AFTER`] or more.
+/// Other entries got the same report and may have sent work there since; the randomness keeps
+/// entries from all choosing the same target.
+const MAX_STALENESS_COST: f64 = 0.7;
+/// Age at which a load report counts as fully stale.
 const STALE_AFTER: Duration = Duration::from_millis(200);
-/// Cost of another data hall: a millisecond there and back, over the shortest usual task.
-const FAR_HALL_COST: f64 = 0.02;
+/// Extra cost of a target in another data hall: the network round trip, as a share of a short
+/// task's run time.
+const OTHER_HALL_COST: f64 = 0.02;
 
-/// One target, as seen through its agent's link.
+/// One target, as known from its agent's link.
 #[derive(Debug)]
 pub struct TargetView {
     /// Name of the agent's VM.
     pub agent: NodeName,
-    /// Its data hall.
+    /// Data hall of the VM.
     pub hall: HallName,
-    /// The target; none while there is none.
+    /// The target, or `None` while the agent has none.
     pub info: Option<TargetInfo>,
     /// Whether the agent is stopping.
     pub is_leaving: bool,
     /// Whether its data hall is evacuated.
     is_evacuated: bool,
-    /// When the agent was last heard.
+    /// When the agent's last packet arrived.
     pub heard: Now,
-    /// When something was last sent to it.
+    /// When a packet was last sent to the agent.
     pub sent: Now,
     clock: AgentMillis,
     free: Resources,
     starts_sent: u64,
-    unseen: VecDeque<Resources>,
+    unconfirmed: VecDeque<Resources>,
     health: HealthReport,
-    closed_until: Now,
-    /// When an outcast may get its next probe.
+    paused_until: Now,
+    /// When the target may get its next probe if it is ejected.
     probe_at: Now,
 }
 
-/// What each packet of an agent says of its load.
+/// Load and health of a target, as reported in every packet of its agent.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadReport {
     /// The agent's clock.
     pub clock: AgentMillis,
-    /// Free resources that this entry may take.
+    /// Free resources that this entry may use.
     pub free: Resources,
     /// Starts of this entry that `free` takes into account.
     pub starts_seen: u64,
-    /// How well the target serves.
+    /// Health of the target.
     pub health: HealthReport,
 }
 
-/// What a task needs of a target.
+/// Requirements and preferences of a task for its target.
 #[derive(Debug, Clone, Copy)]
 pub struct Need<'a> {
-    /// Resources.
+    /// Resources that the task takes.
     pub size: Resources,
-    /// Its queue.
+    /// Queue of the task.
     pub queue: &'a Queue,
     /// Label that the target must have.
     pub required_label: Option<&'a str>,
-    /// Rack where it goes faster.
+    /// Rack in which the task runs faster.
     pub preferred_rack: Option<&'a str>,
-    /// Agent to avoid, for it has just served the task badly.
+    /// Agent to avoid because the task has just run badly there.
     pub avoid: Option<&'a str>,
-    /// Links on which the batch's payload was sent.
+    /// Links on which the batch's payload was already sent.
     pub payload_sent_to: &'a BTreeSet<SessionId>,
-    /// Cost of sending it on another one, as a share of the run time.
+    /// Cost of sending the payload on another link, as a share of the run time.
     pub payload_cost: f64,
-    /// Whether nothing else may run there.
+    /// Whether the target must be idle.
     pub is_idle: bool,
 }
 
-/// Factor on the run time outside the preferred rack.
-const FAR_RACK_COST: f64 = 0.5;
+/// Extra cost of a target outside the preferred rack, as a share of the run time.
+const OTHER_RACK_COST: f64 = 0.5;
 
 impl TargetView {
     fn new(now: Now, agent: NodeName, hall: HallName) -> Self {
@@ -128,36 +129,36 @@
             clock: 0,
             free: Resources::NONE,
             starts_sent: 0,
-            unseen: VecDeque::new(),
+            unconfirmed: VecDeque::new(),
             health: HealthReport::default(),
-            closed_until: Now::ZERO,
+            paused_until: Now::ZERO,
             probe_at: Now::ZERO,
         }
     }
 
-    /// What is free as far as this entry knows.
-    fn room(&self) -> Resources {
-        let unseen = self.unseen.iter();
-        unseen.fold(self.free, |room, size| room.minus(*size))
+    /// The reported free capacity minus the starts that the agent has not confirmed yet.
+    fn free_capacity(&self) -> Resources {
+        let unconfirmed = self.unconfirmed.iter();
+        unconfirmed.fold(self.free, |free, size| free.minus(*size))
     }
 
-    /// The agent's clock now, or somewhat earlier: what its packet took to get here is not known.
+    /// A lower bound of the agent's clock: the transit time of its packet is not known.
     pub fn agent_clock(&self, now: Now) -> AgentMillis {
         self.clock + now.saturating_sub(self.heard).as_millis() as AgentMillis
     }
 
-    /// How old what is known of its load is, from 0 to 1.
+    /// Age of the load report, from 0 (new) to 1 (at least [`STALE_AFTER`] old).
     fn staleness(&self, now: Now) -> f64 {
         let age = now.saturating_sub(self.heard);
         age.div_duration_f64(STALE_AFTER).min(1.0)
     }
 
-    fn serves(&self, need: &Need<'_>) -> bool {
+    fn can_run(&self, need: &Need<'_>) -> bool {
         let Some(info) = &self.info else {
             return false;
         };
         let label = need.required_label;
-        if need.is_idle && self.room() != info.capacity {
+        if need.is_idle && self.free_capacity() != info.capacity {
             return false;
         }
         info.service == need.queue.service
@@ -165,42 +166,42 @@
     }
 
     fn may_get_work(&self, now: Now) -> bool {
-        !self.is_evacuated && self.could_get_work(now)
+        !self.is_evacuated && self.may_get_work_ignoring_evacuation(now)
     }
 
-    /// Whether it may get work but for an evacuation.
-    fn could_get_work(&self, now: Now) -> bool {
-        self.stays(now) && self.closed_until <= now
+    /// Whether the target may get work, apart from evacuations.
+    fn may_get_work_ignoring_evacuation(&self, now: Now) -> bool {
+        self.is_available(now) && self.paused_until <= now
     }
 
-    /// Whether it is there and is not about to leave.
-    fn stays(&self, now: Now) -> bool {
+    /// Whether the target exists, has been heard lately and is not leaving.
+    fn is_available(&self, now: Now) -> bool {
         let Some(info) = &self.info else {
             return false;
         };
-        !self.is_leaving && !info.leaving && self.heard + FRESH > now
+        !self.is_leaving && !info.leaving && self.heard + AGENT_SILENCE_LIMIT > now
     }
 
     fn cost(&self, need: &Need<'_>, hall: &HallName) -> f64 {
         let Some(info) = &self.info else {
             return f64::MAX;
         };
-        let used = info.capacity.minus(self.room()).plus(need.size);
+        let used = info.capacity.minus(self.free_capacity()).plus(need.size);
         let used = used.share_of(info.capacity);
         let slowdown = self.slowdown();
-        let mut cost = slowdown * (1.0 + CROWD_COST * used);
-        if used > 1.0 - TIGHT_SHARE {
-            cost += TIGHT_COST;
+        let mut cost = slowdown * (1.0 + UTILIZATION_COST * used);
+        if used > 1.0 - NEARLY_FULL_SHARE {
+            cost += NEARLY_FULL_COST;
         }
-        cost += QUEUED_COST * self.unseen.len() as f64;
+        cost += UNCONFIRMED_START_COST * self.unconfirmed.len() as f64;
         if self.hall != *hall {
-            cost += FAR_HALL_COST;
+            cost += OTHER_HALL_COST;
         }
-        let is_far = need
+        let is_other_rack = need
             .preferred_rack
             .is_some_and(|rack| info.labels.iter().all(|have| have != rack));
-        if is_far {
-            cost += FAR_RACK_COST * slowdown;
+        if is_other_rack {
+            cost += OTHER_RACK_COST * slowdown;
         }
         if need.avoid == Some(&*self.agent) {
             cost += slowdown;
@@ -212,29 +213,29 @@
 /// Why a target refused a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartRefusal {
-    /// It is unwell or silent.
+    /// It is unhealthy or does not answer.
     Unhealthy,
     /// It has just left another call unanswered.
     Doubtful,
 }
 
-/// What changed about a target.
+/// How a load report changes whether a target is ejected for its failures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EjectionChange {
-    /// Nothing to speak of.
+    /// No change.
     Unchanged,
-    /// It is set aside for its failures.
+    /// The target is ejected: its runs fail too often.
     Ejected,
-    /// It may have work again.
+    /// The target may get work again.
     Readmitted,
 }
 
-/// See the module.
+/// The targets that an entry can reach, by link.
 #[derive(Debug)]
 pub struct TargetRegistry {
     views: BTreeMap<SessionId, TargetView>,
-    /// How often this entry gives an outcast a task.
-    probe_every: Duration,
+    /// Time between two probes of an ejected target by this entry.
+    probe_interval: Duration,
     evacuated: Arc<EvacuatedHalls>,
 }
 
@@ -242,21 +243,21 @@
     fn default() -> Self {
         Self {
             views: BTreeMap::new(),
-            probe_every: PROBE_EVERY,
+            probe_interval: PROBE_INTERVAL,
             evacuated: Arc::default(),
         }
     }
 }
 
 impl TargetRegistry {
-    /// Notes an agent's hello.
+    /// Adds an agent that has said hello.
     pub fn join(&mut self, now: Now, link: SessionId, agent: NodeName, hall: HallName) {
         let mut view = TargetView::new(now, agent, hall);
         view.is_evacuated = self.evacuated.contains(&view.hall);
         self.views.insert(link, view);
     }
 
-    /// Notes which halls are evacuated.
+    /// Sets the evacuated halls.
     pub fn note_evacuations(&mut self, evacuated: &Arc<EvacuatedHalls>) {
         self.evacuated = evacuated.clone();
         for view in self.views.values_mut() {
@@ -264,26 +265,28 @@
         }
     }
 
-    /// Whether evacuations alone leave a service without targets.
+    /// Whether a service has no usable target only because of evacuations.
     pub fn is_evacuated(&self, now: Now, service: &str) -> bool {
-        let serves = |v: &&TargetView| v.info.as_ref().is_some_and(|i| &*i.service == service);
-        let mut views = self.views.values().filter(serves);
-        let has_evacuated = views.any(|v| v.is_evacuated && v.could_get_work(now));
-        let mut views = self.views.values().filter(serves);
+        let runs_service =
+            |v: &&TargetView| v.info.as_ref().is_some_and(|i| &*i.service == service);
+        let mut views = self.views.values().filter(runs_service);
+        let has_evacuated =
+            views.any(|v| v.is_evacuated && v.may_get_work_ignoring_evacuation(now));
+        let mut views = self.views.values().filter(runs_service);
         has_evacuated && !views.any(|v| v.may_get_work(now))
     }
 
-    /// Notes that a link is gone.
+    /// Removes the target of a closed link.
     pub fn leave(&mut self, link: SessionId) -> Option<TargetView> {
         self.views.remove(&link)
     }
 
-    /// A target.
+    /// The target behind a link, mutable.
     pub fn get_mut(&mut self, link: SessionId) -> Option<&mut TargetView> {
         self.views.get_mut(&link)
     }
 
-    /// A target.
+    /// The target behind a link.
     pub fn get(&self, link: SessionId) -> Option<&TargetView> {
         self.views.get(&link)
     }
@@ -304,41 +307,44 @@
         self.views.values().filter(|v| v.may_get_work(now)).count()
     }
 
-    /// Number of targets that may get work, or might but for an evacuation.
+    /// Number of targets that may get work, apart from evacuations.
     pub fn reachable(&self, now: Now) -> usize {
         let views = self.views.values();
-        views.filter(|v| v.could_get_work(now)).count()
+        views
+            .filter(|v| v.may_get_work_ignoring_evacuation(now))
+            .count()
     }
 
-    /// Links that have been silent since `before`.
+    /// Links on which nothing has arrived since `before`.
     pub fn silent(&self, before: Now) -> Vec<SessionId> {
         let silent = self.views.iter().filter(|(_, v)| v.heard < before);
         silent.map(|(link, _)| *link).collect()
     }
 
-    /// Notes an agent's packet; says what changed about its target.
-    pub fn heard(&mut self, now: Now, link: SessionId, word: LoadReport) -> EjectionChange {
+    /// Applies the load report of an agent's packet and returns whether its target was ejected or
+    /// readmitted.
+    pub fn heard(&mut self, now: Now, link: SessionId, report: LoadReport) -> EjectionChange {
         let LoadReport {
             clock,
             free,
             starts_seen,
             health,
-        } = word;
+        } = report;
         let Some(view) = self.views.get_mut(&link) else {
             return EjectionChange::Unchanged;
         };
         view.heard = now;
         view.clock = clock;
         view.free = free;
-        let still_unseen = view.starts_sent.saturating_sub(starts_seen) as usize;
-        while view.unseen.len() > still_unseen {
-            view.unseen.pop_front();
+        let still_unconfirmed = view.starts_sent.saturating_sub(starts_seen) as usize;
+        while view.unconfirmed.len() > still_unconfirmed {
+            view.unconfirmed.pop_front();
         }
-        let was_aside = view.health.fails_too_often();
+        let was_ejected = view.health.fails_too_often();
         view.health = health;
-        match (was_aside, health.fails_too_often()) {
+        match (was_ejected, health.fails_too_often()) {
             (false, true) => {
-                view.probe_at = now + self.probe_every;
+                view.probe_at = now + self.probe_interval;
                 EjectionChange::Ejected
             }
             (true, false) => EjectionChange::Readmitted,
@@ -346,24 +352,24 @@
         }
     }
 
-    /// Notes a start sent to a target.
+    /// Counts a start that was sent to a target.
     pub fn sent_start(&mut self, now: Now, link: SessionId, size: Resources) {
-        let best_pace = self.best_pace(now);
+        let least_slowdown = self.least_slowdown(now);
         if let Some(view) = self.views.get_mut(&link) {
             view.starts_sent += 1;
-            view.unseen.push_back(size);
-            if view.is_ejected(best_pace) {
-                view.probe_at = now + self.probe_every;
+            view.unconfirmed.push_back(size);
+            if view.is_ejected(least_slowdown) {
+                view.probe_at = now + self.probe_interval;
             }
         }
     }
 
-    /// Notes how many entries give work to the same target, this one included.
+    /// Sets the number of entries that give work to the same target, including this one.
     pub fn note_entries(&mut self, entries: usize) {
-        self.probe_every = PROBE_EVERY.max(PROBE_APART * entries as u32);
+        self.probe_interval = PROBE_INTERVAL.max(PROBE_SPACING * entries as u32);
     }
 
-    /// The best target for a task, if any has room.
+    /// The target with the lowest cost for a task, if any can take it.
     pub fn choose(
         &self,
         now: Now,
@@ -373,19 +379,19 @@
         rng: &mut ChaCha8Rng,
     ) -> Option<SessionId> {
         let mut best: Option<(f64, SessionId)> = None;
-        let best_pace = self.best_pace(now);
+        let least_slowdown = self.least_slowdown(now);
         for (link, view) in &self.views {
             let is_open = view.may_get_work(now)
-                && view.serves(need)
-                && need.size.fits_in(view.room())
+                && view.can_run(need)
+                && need.size.fits_in(view.free_capacity())
                 && !is_full(view);
-            if !is_open || (view.is_ejected(best_pace) && view.probe_at > now) {
+            if !is_open || (view.is_ejected(least_slowdown) && view.probe_at > now) {
                 continue;
             }
-            // A little chance keeps entries from all choosing the same one.
-            let chance = rng.random_range(0.97..1.03);
-            let doubt = view.staleness(now) * rng.random_range(0.0..STALE_COST);
-            let mut cost = view.cost(need, hall) * chance + doubt;
+            // Jitter keeps entries from all choosing the same target.
+            let jitter = rng.random_range(0.97..1.03);
+            let staleness_cost = view.staleness(now) * rng.random_range(0.0..MAX_STALENESS_COST);
+            let mut cost = view.cost(need, hall) * jitter + staleness_cost;
             if !need.payload_sent_to.contains(link) {
                 cost += need.payload_cost;
             }
@@ -396,45 +402,46 @@
         best.map(|(_, link)| link)
     }
 
-    /// The best pace among targets that work may be sent to. One that can get none is no yardstick:
-    /// against an idle target of an evacuated hall all others may seem too slow and get only probes.
-    fn best_pace(&self, now: Now) -> f64 {
-        let compared = |v: &&TargetView| !v.is_evacuated && v.stays(now);
-        let paces = self
+    /// The slowdown of the fastest target that may get work. Evacuated targets are left out:
+    /// compared with an idle one, all others might count as too slow and get only probes.
+    fn least_slowdown(&self, now: Now) -> f64 {
+        let compared = |v: &&TargetView| !v.is_evacuated && v.is_available(now);
+        let slowdowns = self
             .views
             .values()
             .filter(compared)
             .map(TargetView::slowdown);
-        paces.fold(f64::MAX, f64::min)
+        slowdowns.fold(f64::MAX, f64::min)
     }
 
-    /// Notes that a target refused a start: it gets none for a while.
+    /// Gives a target no work for a while after it refused a start.
     pub fn refused(&mut self, now: Now, link: SessionId, why: StartRefusal) {
         if let Some(view) = self.views.get_mut(&link) {
             let pause = match why {
-                StartRefusal::Unhealthy => UNWELL_PAUSE,
-                StartRefusal::Doubtful => DOUBT_PAUSE,
+                StartRefusal::Unhealthy => UNHEALTHY_PAUSE,
+                StartRefusal::Doubtful => DOUBTFUL_PAUSE,
             };
-            view.closed_until = view.closed_until.max(now + pause);
+            view.paused_until = view.paused_until.max(now + pause);
         }
     }
 
-    /// Whether a target gets only probes.
+    /// Whether a target is ejected and gets only probes.
     pub fn is_ejected(&self, now: Now, link: SessionId) -> bool {
-        let best_pace = self.best_pace(now);
+        let least_slowdown = self.least_slowdown(now);
         self.views
             .get(&link)
-            .is_some_and(|view| view.is_ejected(best_pace))
+            .is_some_and(|view| view.is_ejected(least_slowdown))
     }
 }
 
 impl TargetView {
-    /// Whether it gets only probes: it fails what it starts, or is far slower than the best.
-    fn is_ejected(&self, best_pace: f64) -> bool {
-        self.health.fails_too_often() || self.slowdown() > TOO_SLOW * best_pace
+    /// Whether the target gets only probes because it fails too often or is much slower than the
+    /// fastest target.
+    fn is_ejected(&self, least_slowdown: f64) -> bool {
+        self.health.fails_too_often() || self.slowdown() > MAX_SLOWDOWN_RATIO * least_slowdown
     }
 
-    /// Run time over estimate, averaged.
+    /// Average ratio of run time to estimate.
     pub fn slowdown(&self) -> f64 {
         self.health.slowdown()
     }
