--- a/lib/src/entry_directory.rs
+++ b/lib/src/entry_directory.rs
@@ -1,8 +1,8 @@
-//! What an entry shares with the other entries: the configuration in force, the evacuated halls, the
-//! entries' addresses and the batches that are being closed.
+//! State that an entry shares with the other entries: the configuration in force, the evacuated
+//! halls, the addresses of entries and the batches that are being closed.
 //!
-//! In a large fleet an entry links to a few others, its neighbours, and what is news is passed on
-//! from neighbour to neighbour. So what an entry sends does not grow with the fleet.
+//! In a large fleet an entry links to only a few others, its neighbours, and each forwards news to
+//! its own neighbours. An entry's traffic therefore does not grow with the fleet.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,55 +21,55 @@
 use crate::run::BatchId;
 use crate::run_message::{ClosingBatch, Packet, PeerIntro, PeerNews, PeerPacket};
 
-/// Entries that an entry of a large fleet links to; as many link to it. With half of the entries gone,
-/// one in 4,000 has no living neighbour.
-const NEIGHBOURS: usize = 6;
-/// Addresses learnt at a time that are named in the log; of more only the number.
-const MOST_NAMED: usize = 8;
+/// Number of entries to which an entry of a large fleet links; on average as many link to it. If
+/// half of the entries fail, nearly every other entry still has a neighbour.
+const NEIGHBOUR_COUNT: usize = 6;
+/// Maximum number of newly learnt addresses that one log line lists.
+const MAX_LOGGED_ADDRESSES: usize = 8;
 
-/// What another entry's packet means for the rest of this one.
+/// Effects of another entry's packet on the rest of this entry.
 #[derive(Debug, Default)]
 pub struct PeerEffects {
-    /// Entries learnt, which agents are to be told of.
+    /// Newly learnt entries, to be sent to the agents.
     pub entries: Vec<SocketAddr>,
-    /// Whether a batch that was held may be placed now.
+    /// Whether a blocked batch may now be placed.
     pub may_place: bool,
-    /// Whether other halls are evacuated than before.
+    /// Whether the evacuated halls have changed.
     pub evacuations_changed: bool,
 }
 
-/// Where an entry's address was learnt.
+/// Source of an entry's address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// From the settings or the registry.
+    /// The settings or the registry.
     Platform,
-    /// From the entry behind a link.
+    /// The entry behind a link.
     Entry(SessionId),
 }
 
-/// See the module.
+/// The shared state that one entry knows, and its links to other entries.
 #[derive(Debug)]
 pub struct EntryDirectory {
     options: Arc<EntryOptions>,
-    /// How long another entry may take to close a batch.
+    /// Longest time that another entry takes to close a batch.
     closing_bound: Duration,
     config: ConfigInForce,
     evacuations: EvacuationsInForce,
-    /// When the store answered last.
+    /// When the store last answered.
     store_heard: Option<Now>,
     peers: PeerTable,
     neighbours: PreferredEntries,
     config_fetch: ConfigFetch,
-    elsewhere: PeerClosings,
-    /// Batches that are being closed here.
-    closing_here: BTreeSet<BatchId>,
-    out: Vec<EntryAction>,
+    peer_closings: PeerClosings,
+    /// Batches that this entry is closing.
+    own_closings: BTreeSet<BatchId>,
+    pending_actions: Vec<EntryAction>,
 }
 
 impl EntryDirectory {
-    /// Of an entry that knows nothing yet.
+    /// Creates the directory of an entry that knows nothing yet.
     pub fn new(options: Arc<EntryOptions>, closing_bound: Duration) -> Self {
-        let neighbours = PreferredEntries::new(&options.name, NEIGHBOURS, Duration::ZERO);
+        let neighbours = PreferredEntries::new(&options.name, NEIGHBOUR_COUNT, Duration::ZERO);
         Self {
             options,
             closing_bound,
@@ -79,9 +79,9 @@
             peers: PeerTable::default(),
             neighbours,
             config_fetch: ConfigFetch::default(),
-            elsewhere: PeerClosings::default(),
-            closing_here: BTreeSet::new(),
-            out: Vec::new(),
+            peer_closings: PeerClosings::default(),
+            own_closings: BTreeSet::new(),
+            pending_actions: Vec::new(),
         }
     }
 
@@ -95,18 +95,18 @@
         self.evacuations.state()
     }
 
-    /// How long ago the store answered; none if it never has.
+    /// Time since the store last answered; `None` if it never has.
     pub fn store_age(&self, now: Now) -> Option<Duration> {
         let heard = self.store_heard?;
         Some(now.saturating_sub(heard))
     }
 
-    /// Whether a batch must wait until another entry has closed it.
+    /// Whether a batch must wait because another entry is still closing it.
     pub fn is_closing_at_peer(&self, now: Now, id: BatchId) -> bool {
-        self.elsewhere.blocked_until(now, id).is_some()
+        self.peer_closings.blocked_until(now, id).is_some()
     }
 
-    /// All entries known, this one included.
+    /// Addresses of all known entries, including this one.
     pub fn entries(&self) -> Vec<SocketAddr> {
         let mut entries = self.peers.known();
         entries.push(self.options.address);
@@ -114,10 +114,10 @@
     }
 
     fn is_large_fleet(&self) -> bool {
-        self.peers.count_known() > FULL_MESH_LIMIT
+        self.peers.known_count() > FULL_MESH_LIMIT
     }
 
-    /// Number of entries that give work to the same target, this one included.
+    /// Number of entries that give work to the same target, including this one.
     pub fn entries_a_target(&self) -> usize {
         if self.is_large_fleet() {
             PREFERRED_COUNT
@@ -126,7 +126,7 @@
         }
     }
 
-    /// When something is due next.
+    /// When [`EntryDirectory::flush`] must be called next, if no event comes before.
     pub fn next_wake(&self) -> Option<Now> {
         let times = [
             self.peers.next_wake(),
@@ -136,26 +136,26 @@
         times.into_iter().flatten().min()
     }
 
-    /// What is to be done, with the packets that are due.
+    /// Takes the pending actions, including the packets that are due.
     pub fn flush(&mut self, now: Now) -> Vec<EntryAction> {
-        self.keep_neighbours(now);
+        self.update_neighbour_links(now);
         if let Some(link) = self.config_fetch.take_due(now, self.config.version()) {
             self.peers.tell(now, link, PeerNews::WantConfig);
         }
         for (link, news) in self.peers.take_due(now) {
             self.send(link, news);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.pending_actions)
     }
 
     fn send(&mut self, link: SessionId, news: Vec<PeerNews>) {
         let packet = Packet::BetweenEntries(PeerPacket { news });
-        self.out.push(EntryAction::Send(link, packet));
+        self.pending_actions.push(EntryAction::Send(link, packet));
     }
 
     fn log(&mut self, code: EventCode, detail: String) {
         let event = LogEvent::new(code, detail);
-        self.out.push(EntryAction::Log(event));
+        self.pending_actions.push(EntryAction::Log(event));
     }
 
     fn intro(&self) -> PeerIntro {
@@ -169,33 +169,33 @@
         }
     }
 
-    /// Dials neighbours and gives up links as the choice of them wants it.
-    fn keep_neighbours(&mut self, now: Now) {
-        // Nothing depends on a link between entries.
+    /// Opens and closes links to match the choice of neighbours.
+    fn update_neighbour_links(&mut self, now: Now) {
+        // No run depends on a link between entries.
         for step in self.neighbours.steps(now, |_| false) {
             match step {
-                LinkStep::Dial(address) => self.out.push(EntryAction::Dial(address)),
+                LinkStep::Dial(address) => self.pending_actions.push(EntryAction::Dial(address)),
                 LinkStep::Disconnect(address, link) => {
-                    self.out.push(EntryAction::Disconnect(address));
+                    self.pending_actions.push(EntryAction::Disconnect(address));
                     if let Some(link) = link {
-                        self.out.push(EntryAction::Close(link));
+                        self.pending_actions.push(EntryAction::Close(link));
                         self.link_down(now, link);
                     }
                 }
-                // No work comes over it that a warning would keep away.
+                // Links between entries carry no work, so there is nothing to drain.
                 LinkStep::Drain(_) => {}
             }
         }
     }
 
-    /// Says hello on a link that this entry dialled.
+    /// Sends the hello on a link that this entry dialled.
     pub fn greet(&mut self, now: Now, link: SessionId, address: SocketAddr) {
         self.neighbours.link_up(now, address, link);
         let hello = PeerNews::Hello(self.intro());
         self.send(link, vec![hello]);
     }
 
-    /// Notes that a link is gone.
+    /// Records that a link is gone.
     pub fn link_down(&mut self, now: Now, link: SessionId) {
         self.neighbours.link_down(now, link);
         self.config_fetch.forget(link);
@@ -207,12 +207,12 @@
     /// Closes links that have been silent for too long.
     pub fn close_silent(&mut self, now: Now) {
         for link in self.peers.silent(now) {
-            self.out.push(EntryAction::Close(link));
+            self.pending_actions.push(EntryAction::Close(link));
             self.link_down(now, link);
         }
     }
 
-    /// Takes in another entry's packet.
+    /// Handles another entry's packet.
     pub fn packet(&mut self, now: Now, link: SessionId, packet: PeerPacket) -> PeerEffects {
         self.peers.heard(now, link);
         let mut effects = PeerEffects::default();
@@ -224,11 +224,11 @@
                 PeerNews::ConfigVersion(version) => self.note_config(now, link, version),
                 PeerNews::WantConfig => self.send_config(now, link),
                 PeerNews::Config(table) => {
-                    self.peers.holds(link, table.version);
+                    self.peers.note_config(link, table.version);
                     self.offer_config(now, &table, "entry");
                 }
                 PeerNews::Evacuations(state) => {
-                    self.peers.knows_evacuations(link, state.place);
+                    self.peers.note_evacuations(link, state.place);
                     effects.evacuations_changed |= self.offer_evacuations(now, &state, "entry");
                 }
                 PeerNews::Entries(addresses) => {
@@ -254,23 +254,23 @@
                 intro.name, intro.life, intro.config
             ),
         );
-        // Both sides say hello; an answer to an answer is not needed.
+        // Both sides send a hello; only the first on a link is answered.
         if self.peers.join(now, link, intro) {
             let hello = PeerNews::Hello(self.intro());
             self.peers.tell(now, link, hello);
-            self.tell_what_is_closing(now, link);
+            self.send_closing_notices(now, link);
         }
         self.note_config(now, link, intro.config);
         let version = self.config.version();
         if version > intro.config {
-            self.peers.holds(link, version);
-            let word = PeerNews::ConfigVersion(version);
-            self.peers.tell(now, link, word);
+            self.peers.note_config(link, version);
+            let news = PeerNews::ConfigVersion(version);
+            self.peers.tell(now, link, news);
         }
         let state = self.evacuations.state();
         if state.place > intro.evacuations {
             let news = PeerNews::Evacuations(state.clone());
-            self.peers.knows_evacuations(link, state.place);
+            self.peers.note_evacuations(link, state.place);
             self.peers.tell(now, link, news);
         }
         let mut addresses = intro.entries.clone();
@@ -278,28 +278,28 @@
         self.learn(now, Source::Entry(link), addresses)
     }
 
-    /// Notes which configuration a neighbour holds.
+    /// Records which configuration a neighbour holds and prepares to fetch it if it is newer.
     fn note_config(&mut self, now: Now, link: SessionId, version: ConfigVersion) {
-        self.peers.holds(link, version);
+        self.peers.note_config(link, version);
         let own = self.config.version();
         if version > own {
-            self.config_fetch.heard(now, link, version, own);
+            self.config_fetch.add_holder(now, link, version, own);
         }
     }
 
     fn send_config(&mut self, now: Now, link: SessionId) {
         if let Some(table) = self.config.table() {
-            self.peers.holds(link, table.version);
+            self.peers.note_config(link, table.version);
             let news = PeerNews::Config(table.clone());
             self.peers.tell(now, link, news);
         }
     }
 
-    /// Tells a new neighbour of all batches that are being closed: those notices may have come while
-    /// no link stood, as when the callers' connections and those between entries are reset together.
-    fn tell_what_is_closing(&mut self, now: Now, link: SessionId) {
-        let here = self.closing_here.iter().map(|id| self.closing(*id));
-        let closing: Vec<ClosingBatch> = here.chain(self.elsewhere.open(now)).collect();
+    /// Tells a new neighbour of all batches that are being closed. It may have missed those
+    /// notices, for instance when connections of callers and between entries were reset together.
+    fn send_closing_notices(&mut self, now: Now, link: SessionId) {
+        let here = self.own_closings.iter().map(|id| self.closing_notice(*id));
+        let closing: Vec<ClosingBatch> = here.chain(self.peer_closings.open(now)).collect();
         for closing in closing {
             self.peers.tell(now, link, PeerNews::Closing(closing));
         }
@@ -307,26 +307,26 @@
 
     fn note_closing(&mut self, now: Now, link: SessionId, closing: ClosingBatch) {
         let is_own = closing.entry == self.options.incarnation;
-        if !is_own && self.elsewhere.note(now, closing, self.closing_bound) {
+        if !is_own && self.peer_closings.note(now, closing, self.closing_bound) {
             let news = PeerNews::Closing(closing);
-            self.peers.pass_on(now, link, &news);
+            self.peers.forward(now, link, &news);
         }
     }
 
     fn note_closed(&mut self, now: Now, link: SessionId, closing: ClosingBatch) -> bool {
         let is_own = closing.entry == self.options.incarnation;
-        let is_news = !is_own && self.elsewhere.over(now, closing, self.closing_bound);
+        let is_news = !is_own && self.peer_closings.over(now, closing, self.closing_bound);
         if is_news {
             self.peers.tell_closed(now, closing, Some(link));
         }
         is_news
     }
 
-    /// Learns addresses of entries and passes those that are new on; gives them.
+    /// Adds addresses of entries, forwards the new ones to the neighbours and returns them.
     ///
-    /// In a small fleet all entries are linked, and one link between two of them is enough: of two
-    /// that hear of each other, the one with the lower address dials. What the platform names is
-    /// dialled in any case, for nobody else may know of this entry yet.
+    /// In a small fleet every two entries share one link. If they learn of each other, the one with
+    /// the lower address dials. Addresses from the platform are always dialled, because no other
+    /// entry may know of this one yet.
     pub fn learn(
         &mut self,
         now: Now,
@@ -339,8 +339,8 @@
         if fresh.is_empty() {
             return fresh;
         }
-        let known = self.peers.count_known();
-        let named = &fresh[..fresh.len().min(MOST_NAMED)];
+        let known = self.peers.known_count();
+        let named = &fresh[..fresh.len().min(MAX_LOGGED_ADDRESSES)];
         let count = fresh.len();
         self.log(
             EventCode::EntriesLearnt,
@@ -349,19 +349,19 @@
         if self.is_large_fleet() {
             self.neighbours.learn(now, self.peers.known());
         } else {
-            let is_to_dial = |a: &SocketAddr| source == Source::Platform || own < *a;
+            let should_dial = |a: &SocketAddr| source == Source::Platform || own < *a;
             self.neighbours
-                .learn(now, fresh.iter().copied().filter(is_to_dial));
+                .learn(now, fresh.iter().copied().filter(should_dial));
         }
         let news = PeerNews::Entries(fresh.clone());
         match source {
-            Source::Entry(link) => self.peers.pass_on(now, link, &news),
+            Source::Entry(link) => self.peers.forward(now, link, &news),
             Source::Platform => self.peers.tell_all(now, &news),
         }
         fresh
     }
 
-    /// Takes a configuration in force if it is newer, and passes it on.
+    /// Puts a configuration in force if it is newer, and announces its version to the neighbours.
     pub fn offer_config(&mut self, now: Now, table: &Arc<QueueTable>, from: &str) {
         if !self.config.offer(table) {
             return;
@@ -375,14 +375,14 @@
         self.peers.tell_config(now, version);
     }
 
-    /// The store has answered: these halls are evacuated. Says whether others were before.
+    /// Applies the evacuated halls from an answer of the store. Returns whether they changed.
     pub fn store_answered(&mut self, now: Now, state: &Arc<EvacuatedHalls>) -> bool {
         self.store_heard = Some(now);
         self.offer_evacuations(now, state, "store")
     }
 
-    /// Takes evacuations in force if they are newer, and passes them on if they are others; says
-    /// whether they are.
+    /// Applies evacuations if they are newer, and forwards them if the halls changed. Returns
+    /// whether they changed.
     fn offer_evacuations(&mut self, now: Now, state: &Arc<EvacuatedHalls>, from: &str) -> bool {
         if self.evacuations.offer(state) != Offered::Changed {
             return false;
@@ -396,27 +396,27 @@
         true
     }
 
-    /// Tells the other entries that a batch is being closed here.
+    /// Tells the other entries that this entry is closing a batch.
     pub fn tell_closing(&mut self, now: Now, id: BatchId) {
-        self.closing_here.insert(id);
-        let news = PeerNews::Closing(self.closing(id));
+        self.own_closings.insert(id);
+        let news = PeerNews::Closing(self.closing_notice(id));
         self.peers.tell_all(now, &news);
     }
 
-    /// A batch that was being closed here is wanted again: its caller came back.
+    /// Records that a batch is no longer being closed because its caller came back.
     pub fn reopened(&mut self, id: BatchId) {
-        self.closing_here.remove(&id);
+        self.own_closings.remove(&id);
     }
 
-    fn closing(&self, batch: BatchId) -> ClosingBatch {
+    fn closing_notice(&self, batch: BatchId) -> ClosingBatch {
         let entry = self.options.incarnation;
         ClosingBatch { batch, entry }
     }
 
-    /// Tells the other entries that nothing of a batch runs here any more.
+    /// Tells the other entries that no run of a batch is left at this entry.
     pub fn tell_closed(&mut self, now: Now, id: BatchId) {
-        self.closing_here.remove(&id);
-        let closing = self.closing(id);
+        self.own_closings.remove(&id);
+        let closing = self.closing_notice(id);
         self.peers.tell_closed(now, closing, None);
     }
 }
--- a/lib/src/entry_node.rs
+++ b/lib/src/entry_node.rs
@@ -1,7 +1,7 @@
-//! An entry on the platform: its core with links, timer and callers on one thread.
+//! Runs an entry on the platform: its core, links, timer and callers share one thread.
 //!
-//! One thread, not one for each duty: on a quarter of a core a hand-over between threads costs the
-//! caller more than the duties gain from standing apart. docs/design/platform.md has the figures.
+//! An entry has only a fraction of a core, where handing work between threads costs callers more
+//! than separate threads would gain.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -25,12 +25,13 @@
 use crate::platform_ports::{EntryRegistry, OperatorFeed, PortResult};
 use crate::run_message::Packet;
 
-/// First pause after the store gave no answer.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause: the configuration must be in force 2 s after it was accepted.
-const MOST_PAUSE: Duration = Duration::from_millis(500);
+/// Pause after the first call to the store that failed.
+const INITIAL_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause between two calls to a failing store. It is short because a configuration must be
+/// in force 2 s after it was accepted.
+const MAX_PAUSE: Duration = Duration::from_millis(500);
 
-/// See the module.
+/// Connects the core of an entry to its links, timer, callers and store.
 pub struct EntryNode {
     me: Weak<EntryNode>,
     core: RefCell<BatchEntryCore>,
@@ -43,7 +44,7 @@
 }
 
 impl EntryNode {
-    /// An entry that listens for links. Must be called on the thread that is to run it.
+    /// Starts an entry that listens for links. Must be called on the thread that runs the entry.
     pub fn start(options: EntryOptions, links_listener: TcpListener) -> Rc<Self> {
         let timer = CoreTimer::new(BootInstant::now());
         let node = Rc::new_cyclic(|me: &Weak<Self>| Self {
@@ -64,7 +65,7 @@
         node
     }
 
-    /// Tells the core something and carries out what it wants.
+    /// Passes an event to the core and executes the resulting actions.
     pub fn tell(&self, event: EntryEvent) {
         let actions = {
             let mut core = self.core.borrow_mut();
@@ -73,11 +74,11 @@
             actions
         };
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&self, action: EntryAction) {
+    fn execute(&self, action: EntryAction) {
         match action {
             EntryAction::Reply(request, reply) => self.reply(request, reply),
             EntryAction::Send(link, packet) => self.links.send(link, &packet),
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Writes a line to the log and counts it on the metrics page.
+    /// Writes an event to the log and counts it in the metrics.
     fn log(&self, event: LogEvent) {
         self.figures.event(event.code);
         event.emit();
@@ -106,14 +107,14 @@
 
     fn reply(&self, request: RequestId, reply: Reply) {
         self.figures.answer(reply.kind());
-        // Without a receiver the caller has gone; the core is told so by its guard.
+        // Without a receiver the caller is gone, and its guard has told the core.
         if let Some(tx) = self.replies.borrow_mut().remove(&request) {
             let _ = tx.send(reply);
         }
     }
 
-    /// Tells the core of a request and waits for its reply. If the future is dropped before, the
-    /// core is told that the caller has gone.
+    /// Passes a request to the core and waits for the reply. If the future is dropped before, the
+    /// core is told that the caller is gone.
     pub async fn ask(&self, event: impl FnOnce(RequestId) -> EntryEvent) -> Option<Reply> {
         let request = self.next_request.get();
         self.next_request.set(request + 1);
@@ -130,7 +131,7 @@
         reply
     }
 
-    /// Whether the balancer should send new connections.
+    /// Whether the load balancer should send new connections.
     pub fn is_ready(&self) -> bool {
         self.core.borrow().is_ready()
     }
@@ -140,12 +141,12 @@
         self.core.borrow().is_draining()
     }
 
-    /// Largest body that the configuration allows.
+    /// Largest request body that the configuration allows, in bytes.
     pub fn body_limit(&self) -> Option<usize> {
         self.core.borrow().body_limit()
     }
 
-    /// The metrics page.
+    /// Renders the metrics page.
     pub fn metrics(&self) -> String {
         let levels = self.core.borrow().levels();
         self.figures.level("batches", levels.batches);
@@ -159,12 +160,12 @@
         self.figures.render()
     }
 
-    /// Waits until the core wants the process to stop.
+    /// Waits until the core asks the process to exit.
     pub async fn ended(&self) {
         self.ended.notified().await;
     }
 
-    /// Feeds the core with what operators want. Never returns.
+    /// Passes the operators' evacuations and configurations to the core. Never returns.
     pub async fn follow_operators(self: Rc<Self>, feed: Rc<dyn OperatorFeed>) {
         let mut health = StoreHealth::default();
         let mut evacuations = EvacuationReader::default();
@@ -186,7 +187,8 @@
         }
     }
 
-    /// Leaves the entry's address in the registry and learns the others'.
+    /// Registers the entry's address and passes the addresses of all entries to the core. Retries
+    /// until the registry answers.
     pub async fn register(
         self: Rc<Self>,
         registry: Rc<dyn EntryRegistry>,
@@ -195,7 +197,7 @@
     ) {
         let mut health = StoreHealth::default();
         loop {
-            match register_once(&*registry, &name, address).await {
+            match announce_and_list(&*registry, &name, address).await {
                 Ok(addresses) => {
                     self.tell(EntryEvent::Entries(addresses));
                     return;
@@ -206,7 +208,7 @@
     }
 }
 
-async fn register_once(
+async fn announce_and_list(
     registry: &dyn EntryRegistry,
     name: &str,
     address: SocketAddr,
@@ -229,7 +231,7 @@
     }
 }
 
-/// Tells the core that a caller is gone if its handler is dropped before the answer.
+/// Tells the core that a caller is gone if its handler is dropped before the reply.
 struct CallerGuard<'a> {
     node: &'a EntryNode,
     request: RequestId,
@@ -245,7 +247,7 @@
     }
 }
 
-/// Whether the store answers, with a line in the log when that changes, and pauses between tries.
+/// Tracks whether the store answers, logs each change and paces retries with exponential backoff.
 #[derive(Debug)]
 pub struct StoreHealth {
     is_down: bool,
@@ -256,13 +258,13 @@
     fn default() -> Self {
         Self {
             is_down: false,
-            pause: FIRST_PAUSE,
+            pause: INITIAL_PAUSE,
         }
     }
 }
 
 impl StoreHealth {
-    /// Notes an answer.
+    /// Records an answer.
     pub fn answered(&mut self) {
         if self.is_down {
             LogEvent::new(EventCode::StoreUp, "").emit();
@@ -270,7 +272,7 @@
         *self = Self::default();
     }
 
-    /// Notes a failure and pauses, with jitter.
+    /// Records a failure and waits before the next attempt, with jitter.
     pub async fn failed(&mut self, cause: &str) {
         if !self.is_down {
             self.is_down = true;
@@ -278,6 +280,6 @@
         }
         let jitter = rand::random_range(0.5..1.5);
         tokio::time::sleep(self.pause.mul_f64(jitter)).await;
-        self.pause = (self.pause * 2).min(MOST_PAUSE);
+        self.pause = (self.pause * 2).min(MAX_PAUSE);
     }
 }
--- a/lib/src/peer_table.rs
+++ b/lib/src/peer_table.rs
@@ -1,4 +1,4 @@
-//! Other entries: their links, the configuration that each holds, and the addresses known.
+//! The links to other entries, the configuration that each entry holds, and the known addresses.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,48 +10,48 @@
 use crate::queue::ConfigVersion;
 use crate::run_message::{ClosingBatch, PeerIntro, PeerNews};
 
-/// How often a quiet link between entries shows life.
-const HEARTBEAT: Duration = Duration::from_millis(1_000);
-/// News that begin here and can wait are gathered for so long: most batches that are closed are over
-/// within it, so that nothing need be said.
-const GATHER: Duration = Duration::from_millis(60);
-/// Notices of batches are gathered for so long by each entry that passes them on. Callers whose
-/// connection broke come again after 500 ms at the soonest, the least that the settings may say, and
-/// every entry must have heard of their batches by then.
-const GATHER_PASSED_ON: Duration = Duration::from_millis(10);
-/// A link between entries that is silent for so long is closed.
-const SILENT_LINK: Duration = Duration::from_millis(3_000);
+/// Interval of heartbeats on an idle link between entries.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
+/// How long an entry collects its own news before it sends them. Most closing batches end within
+/// this time, and their notices are then dropped unsent.
+const NEWS_DELAY: Duration = Duration::from_millis(60);
+/// How long an entry collects notices of closing batches before it forwards them. A caller whose
+/// connection broke retries after 500 ms at the earliest, the minimum in the settings, and every
+/// entry must know of its batch by then.
+const FORWARDED_NOTICE_DELAY: Duration = Duration::from_millis(10);
+/// Time without a packet after which a link between entries is closed.
+const LINK_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// A link to another entry.
 #[derive(Debug)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the entry.
     pub name: NodeName,
-    /// Version that it holds, or has been told of.
+    /// Newest configuration version that it holds or was told of.
     pub config: ConfigVersion,
-    /// Place in the log up to which it is known to know the evacuations.
+    /// Store position up to which it knows the evacuations or was told of them.
     pub evacuations: StorePosition,
-    /// When it was last heard.
+    /// When its last packet arrived.
     pub heard: Now,
-    /// When something was last sent.
+    /// When a packet was last sent to it.
     pub sent: Now,
-    /// News to be sent.
+    /// News that wait to be sent.
     pub news: Vec<PeerNews>,
-    /// When the news are to be sent.
+    /// When the waiting news must be sent.
     news_due: Now,
 }
 
 impl Peer {
     fn due_at(&self) -> Now {
         if self.news.is_empty() {
-            self.sent + HEARTBEAT
+            self.sent + HEARTBEAT_INTERVAL
         } else {
             self.news_due
         }
     }
 
-    fn add(&mut self, now: Now, news: PeerNews, wait: Duration) {
-        let due = now + wait;
+    fn add(&mut self, now: Now, news: PeerNews, delay: Duration) {
+        let due = now + delay;
         let is_first = self.news.is_empty();
         self.news_due = if is_first {
             due
@@ -62,7 +62,7 @@
     }
 }
 
-/// See the module.
+/// The linked entries and all known entry addresses.
 #[derive(Debug, Default)]
 pub struct PeerTable {
     links: BTreeMap<SessionId, Peer>,
@@ -70,23 +70,23 @@
 }
 
 impl PeerTable {
-    /// Notes addresses of entries; gives those that are new.
+    /// Adds addresses of entries and returns the new ones.
     pub fn learn(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) -> Vec<SocketAddr> {
         let addresses = addresses.into_iter();
         addresses.filter(|a| self.known.insert(*a)).collect()
     }
 
-    /// Number of addresses known.
-    pub fn count_known(&self) -> usize {
+    /// Number of known addresses.
+    pub fn known_count(&self) -> usize {
         self.known.len()
     }
 
-    /// All addresses known.
+    /// All known addresses.
     pub fn known(&self) -> Vec<SocketAddr> {
         self.known.iter().copied().collect()
     }
 
-    /// Notes another entry's hello; says whether the link was unknown.
+    /// Records another entry's hello and returns whether it is the first on this link.
     pub fn join(&mut self, now: Now, link: SessionId, intro: &PeerIntro) -> bool {
         if let Some(peer) = self.links.get_mut(&link) {
             peer.config = peer.config.max(intro.config);
@@ -106,68 +106,68 @@
         true
     }
 
-    /// Notes that a link is gone.
+    /// Removes a closed link and returns its entry.
     pub fn leave(&mut self, link: SessionId) -> Option<Peer> {
         self.links.remove(&link)
     }
 
-    /// Number of entries that a link stands to.
+    /// Number of linked entries.
     pub fn linked(&self) -> usize {
         let names: BTreeSet<&NodeName> = self.links.values().map(|p| &p.name).collect();
         names.len()
     }
 
-    /// Notes that something was heard.
+    /// Records the arrival of a packet.
     pub fn heard(&mut self, now: Now, link: SessionId) {
         if let Some(peer) = self.links.get_mut(&link) {
             peer.heard = now;
         }
     }
 
-    /// Notes the version that an entry holds.
-    pub fn holds(&mut self, link: SessionId, version: ConfigVersion) {
+    /// Records that an entry holds, or was told of, a configuration version.
+    pub fn note_config(&mut self, link: SessionId, version: ConfigVersion) {
         if let Some(peer) = self.links.get_mut(&link) {
             peer.config = peer.config.max(version);
         }
     }
 
-    /// Notes the place up to which an entry knows the evacuations.
-    pub fn knows_evacuations(&mut self, link: SessionId, place: StorePosition) {
+    /// Records the store position up to which an entry knows the evacuations.
+    pub fn note_evacuations(&mut self, link: SessionId, position: StorePosition) {
         if let Some(peer) = self.links.get_mut(&link) {
-            peer.evacuations = peer.evacuations.max(place);
+            peer.evacuations = peer.evacuations.max(position);
         }
     }
 
-    /// Adds news for one entry, to be sent at once.
+    /// Adds news for one entry that are due at once.
     pub fn tell(&mut self, now: Now, link: SessionId, news: PeerNews) {
         if let Some(peer) = self.links.get_mut(&link) {
             peer.add(now, news, Duration::ZERO);
         }
     }
 
-    /// Adds news that begin here for every neighbour, to be sent with others soon.
+    /// Adds news of this entry for every neighbour, collected with other news.
     pub fn tell_all(&mut self, now: Now, news: &PeerNews) {
         for peer in self.links.values_mut() {
-            peer.add(now, news.clone(), GATHER);
+            peer.add(now, news.clone(), NEWS_DELAY);
         }
     }
 
-    /// Passes news of one neighbour on to the others.
-    pub fn pass_on(&mut self, now: Now, from: SessionId, news: &PeerNews) {
-        let wait = match news {
-            PeerNews::Closing(_) | PeerNews::Closed(_) => GATHER_PASSED_ON,
-            _ => GATHER,
+    /// Forwards news of one neighbour to all others.
+    pub fn forward(&mut self, now: Now, from: SessionId, news: &PeerNews) {
+        let delay = match news {
+            PeerNews::Closing(_) | PeerNews::Closed(_) => FORWARDED_NOTICE_DELAY,
+            _ => NEWS_DELAY,
         };
         for (link, peer) in &mut self.links {
             if *link != from {
-                peer.add(now, news.clone(), wait);
+                peer.add(now, news.clone(), delay);
             }
         }
     }
 
-    /// Tells every neighbour that is not known to hold it of a configuration, at once. A word and not
-    /// the table: all entries hear of a change from the store at the same moment, and whole tables
-    /// from each to each would fill their links.
+    /// Announces a configuration at once to every neighbour that may not hold it. Only the version
+    /// is sent: all entries learn of a change from the store at the same time, and sending whole
+    /// tables to each other would fill their links.
     pub fn tell_config(&mut self, now: Now, version: ConfigVersion) {
         for peer in self.links.values_mut() {
             if peer.config < version {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Tells every entry that knows of older evacuations, at once.
+    /// Sends the evacuated halls at once to every entry that knows an older state.
     pub fn tell_evacuations(&mut self, now: Now, state: &Arc<EvacuatedHalls>) {
         for peer in self.links.values_mut() {
             if peer.evacuations < state.place {
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Takes back that a batch is being closed from every neighbour that was not told yet, and tells
-    /// the others that it is.
+    /// Tells every neighbour that a batch is closed. If its closing notice to a neighbour is still
+    /// unsent, that notice is dropped instead.
     pub fn tell_closed(&mut self, now: Now, closing: ClosingBatch, from: Option<SessionId>) {
         for (link, peer) in &mut self.links {
             if Some(*link) == from {
@@ -201,14 +201,14 @@
                     peer.news.remove(position);
                 }
                 None => {
-                    let wait = from.map_or(GATHER, |_| GATHER_PASSED_ON);
-                    peer.add(now, PeerNews::Closed(closing), wait);
+                    let delay = from.map_or(NEWS_DELAY, |_| FORWARDED_NOTICE_DELAY);
+                    peer.add(now, PeerNews::Closed(closing), delay);
                 }
             }
         }
     }
 
-    /// Packets that are due.
+    /// Takes the packets that are due.
     pub fn take_due(&mut self, now: Now) -> Vec<(SessionId, Vec<PeerNews>)> {
         let mut due = Vec::new();
         for (link, peer) in &mut self.links {
@@ -224,16 +224,16 @@
         due
     }
 
-    /// Links that have been silent for too long.
+    /// Links whose last packet arrived too long ago.
     pub fn silent(&self, now: Now) -> Vec<SessionId> {
         let links = self.links.iter();
-        let silent = links.filter(|(_, p)| p.heard + SILENT_LINK <= now);
+        let silent = links.filter(|(_, p)| p.heard + LINK_TIMEOUT <= now);
         silent.map(|(link, _)| *link).collect()
     }
 
-    /// When something is due next.
+    /// When the next packet or timeout is due.
     pub fn next_wake(&self) -> Option<Now> {
-        let due = |p: &Peer| p.due_at().min(p.heard + SILENT_LINK);
+        let due = |p: &Peer| p.due_at().min(p.heard + LINK_TIMEOUT);
         self.links.values().map(due).min()
     }
 }
