--- a/lib/src/adaptive_timeout.rs
+++ b/lib/src/adaptive_timeout.rs
@@ -1,53 +1,54 @@
-//! How long answers to a kind of call take, and from when on one counts as missing.
+//! Estimates the response time of a kind of call and derives its timeout.
 //!
 //! The estimate is that of TCP's retransmission timer (RFC 6298): a smoothed mean and a smoothed
-//! deviation. Giving up too early costs a look at the target's lists, too late costs the caller.
+//! deviation. A timeout that is too short causes a needless read of the target's lists; one that is
+//! too long delays the caller.
 
 use std::time::Duration;
 
-/// Weight of one answer in the mean, as in RFC 6298.
-const MEAN_WEIGHT: u32 = 8;
-/// Weight of one answer in the deviation, as in RFC 6298.
-const DEVIATION_WEIGHT: u32 = 4;
-/// Deviations beyond the mean after which an answer counts as missing, as in RFC 6298.
-const DEVIATIONS: u32 = 4;
+/// Divisor for the weight of one answer in the mean, as in RFC 6298.
+const MEAN_DIVISOR: u32 = 8;
+/// Divisor for the weight of one answer in the deviation, as in RFC 6298.
+const DEVIATION_DIVISOR: u32 = 4;
+/// Multiple of the deviation that the timeout adds to the mean, as in RFC 6298.
+const DEVIATION_FACTOR: u32 = 4;
 
-/// See the module.
+/// A timeout that follows the measured response times within fixed bounds.
 #[derive(Debug, Clone, Copy)]
 pub struct AdaptiveTimeout {
-    least: Duration,
-    most: Duration,
-    /// Mean and deviation; none before the first answer.
+    min: Duration,
+    max: Duration,
+    /// Mean and deviation; `None` before the first answer.
     estimate: Option<(Duration, Duration)>,
 }
 
 impl AdaptiveTimeout {
-    /// An estimate whose limit stays between `least` and `most`.
-    pub fn new(least: Duration, most: Duration) -> Self {
+    /// Creates a timeout that stays between `min` and `max`, and is `max` before the first answer.
+    pub fn new(min: Duration, max: Duration) -> Self {
         Self {
-            least,
-            most,
+            min,
+            max,
             estimate: None,
         }
     }
 
-    /// Learns from an answer.
+    /// Updates the estimate with the response time of one answer.
     pub fn learn(&mut self, took: Duration) {
         let Some((mean, deviation)) = self.estimate else {
             self.estimate = Some((took, took / 2));
             return;
         };
-        let off = mean.abs_diff(took);
-        let deviation = deviation - deviation / DEVIATION_WEIGHT + off / DEVIATION_WEIGHT;
-        let mean = mean - mean / MEAN_WEIGHT + took / MEAN_WEIGHT;
+        let error = mean.abs_diff(took);
+        let deviation = deviation - deviation / DEVIATION_DIVISOR + error / DEVIATION_DIVISOR;
+        let mean = mean - mean / MEAN_DIVISOR + took / MEAN_DIVISOR;
         self.estimate = Some((mean, deviation));
     }
 
-    /// How long to wait for an answer before it counts as missing.
+    /// The current timeout.
     pub fn limit(&self) -> Duration {
         let Some((mean, deviation)) = self.estimate else {
-            return self.most;
+            return self.max;
         };
-        (mean + deviation * DEVIATIONS).clamp(self.least, self.most)
+        (mean + deviation * DEVIATION_FACTOR).clamp(self.min, self.max)
     }
 }
--- a/lib/src/link_load.rs
+++ b/lib/src/link_load.rs
@@ -1,43 +1,41 @@
-//! How busy an entry's own link is, and what it costs to send something more.
+//! Models the load of an entry's outgoing network link and the cost of sending more.
 //!
-//! The load that it answers: batches whose payloads fill a narrow link. Everything that an entry sends
-//! shares it, so that starts stand behind payloads, and each target that a batch is spread over gets
-//! a payload of its own. The link's rate is known from the settings; what was sent is counted here,
-//! and the queue in front of the link is worked out from both.
+//! Payloads can fill a narrow link and delay the starts behind them, and every target of a batch
+//! needs its own copy of the payload. The backlog is computed from the link's configured rate and
+//! the bytes sent so far.
 
 use std::time::Duration;
 
 use crate::ids::Now;
 
-/// Use of the link is averaged over this time: long against a batch's packets (some milliseconds),
-/// short against a burst (some seconds).
-const AVERAGED_OVER: Duration = Duration::from_millis(500);
-/// Share of the link that always counts as free. Without it the price of sending would have no
-/// bound.
-const LEAST_FREE: f64 = 0.1;
+/// Time constant of the average usage: longer than the packets of one batch, shorter than a burst
+/// of batches.
+const USAGE_TIME_CONSTANT: Duration = Duration::from_millis(500);
+/// Share of the link that always counts as free. It bounds the price of sending.
+const MIN_FREE_SHARE: f64 = 0.1;
 
-/// Nothing more is placed while what was sent takes the link longer than this. What waits then waits
-/// in order of its due time, and answers and stops pass it; an order that is written waits behind
-/// all others. Two payloads of 1.2 kB on a link of 2 Mbit/s.
-const MOST_BACKLOG: Duration = Duration::from_millis(6);
+/// Backlog above which no more tasks are placed. Tasks that wait at the entry keep the order of
+/// their due times, and answers and stops overtake them; an order that was sent waits behind all
+/// packets sent before.
+const MAX_BACKLOG: Duration = Duration::from_millis(6);
 
-/// What a link carries, in bytes a second.
+/// Capacity of a link, in bytes per second.
 pub type ByteRate = f64;
 
-/// See the module.
+/// Backlog and average usage of one link.
 #[derive(Debug)]
 pub struct LinkLoad {
-    /// None if the rate is not known: then nothing costs anything.
+    /// `None` if the rate is not known; sending is then free.
     rate: Option<ByteRate>,
-    /// When all that was sent is through the link.
+    /// When the link will have transmitted all bytes sent so far.
     busy_until: Now,
-    /// Share of the link in use, averaged, as of `averaged_at`.
+    /// Average share of the link in use, as of `averaged_at`.
     usage: f64,
     averaged_at: Now,
 }
 
 impl LinkLoad {
-    /// An idle link of this rate.
+    /// Creates an idle link of this rate.
     pub fn new(rate: Option<ByteRate>) -> Self {
         Self {
             rate: rate.filter(|rate| *rate > 0.0),
@@ -47,42 +45,42 @@
         }
     }
 
-    /// How long the link takes for so many bytes.
-    pub fn time_of(&self, bytes: usize) -> Duration {
+    /// Transmission time of `bytes`.
+    pub fn transmission_time(&self, bytes: usize) -> Duration {
         let rate = self.rate;
         rate.map_or(Duration::ZERO, |rate| {
             Duration::from_secs_f64(bytes as f64 / rate)
         })
     }
 
-    /// Notes bytes that are sent.
+    /// Records that `bytes` are sent.
     pub fn sent(&mut self, now: Now, bytes: usize) {
-        let time = self.time_of(bytes);
+        let time = self.transmission_time(bytes);
         self.busy_until = self.busy_until.max(now) + time;
-        self.usage = self.usage(now) + time.div_duration_f64(AVERAGED_OVER);
+        self.usage = self.usage(now) + time.div_duration_f64(USAGE_TIME_CONSTANT);
         self.averaged_at = now;
     }
 
-    /// How long something that is sent now waits for what was sent before.
+    /// How long a packet that is sent now waits behind those sent before.
     pub fn backlog(&self, now: Now) -> Duration {
         self.busy_until.saturating_sub(now)
     }
 
-    /// When there is room for another order; none if there is now.
+    /// When the backlog will allow another order; `None` if it does now.
     pub fn full_until(&self, now: Now) -> Option<Now> {
-        let at = self.busy_until.saturating_sub(MOST_BACKLOG);
+        let at = self.busy_until.saturating_sub(MAX_BACKLOG);
         (at > now).then_some(at)
     }
 
     fn usage(&self, now: Now) -> f64 {
         let passed = now.saturating_sub(self.averaged_at);
-        self.usage * f64::exp(-passed.div_duration_f64(AVERAGED_OVER))
+        self.usage * f64::exp(-passed.div_duration_f64(USAGE_TIME_CONSTANT))
     }
 
-    /// What so many bytes cost all that is sent together: their own time, and on a busy link the
-    /// time that others wait for them.
+    /// Total delay that sending `bytes` causes: their transmission time and, on a busy link, the
+    /// time that other packets wait for them.
     pub fn price(&self, now: Now, bytes: usize) -> Duration {
-        let free = (1.0 - self.usage(now)).max(LEAST_FREE);
-        self.time_of(bytes).div_f64(free)
+        let free = (1.0 - self.usage(now)).max(MIN_FREE_SHARE);
+        self.transmission_time(bytes).div_f64(free)
     }
 }
--- a/lib/src/node_links.rs
+++ b/lib/src/node_links.rs
@@ -1,7 +1,8 @@
 //! WebSocket links of a process on the platform, on the thread that also runs its core.
 //!
-//! A link task decodes what comes and tells the sink; what goes out waits in a bounded queue and
-//! is written in as few writes as possible. A side that does not read is closed, not waited for.
+//! Each link has a task that decodes incoming packets for the sink. Outgoing packets wait in a
+//! bounded queue and are written in as few writes as possible. If the queue is full because the
+//! other side does not read, the link is closed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,53 +25,53 @@
 use crate::run_message::Packet;
 use crate::session_links::socket_config;
 
-/// Packets that may wait to be written on one link.
-const MOST_UNSENT: usize = 2_048;
-/// How long a connection may take: a VM without power says nothing, and the next try may find it
-/// back. Round trips take 25 ms between regions; the rest is for a VM that is slowed down.
-const CONNECT_LIMIT: Duration = Duration::from_millis(100);
-/// How long the handshake on a connection may take: a process that has just started, or is
-/// slowed down, answers late.
-const HANDSHAKE_LIMIT: Duration = Duration::from_millis(800);
+/// Maximum number of packets that wait to be written on one link.
+const MAX_UNSENT_PACKETS: usize = 2_048;
+/// Timeout for a TCP connection. It is short because a VM without power never answers, and the next
+/// attempt may find it running again.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Timeout for the WebSocket handshake. It is longer because a process that has just started or is
+/// slowed down answers late.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(800);
 /// First pause before dialling again.
-const FIRST_PAUSE: Duration = Duration::from_millis(40);
-/// Longest pause before dialling again: a new life at the address is found within it, and no
-/// batch is served before. A try costs some 0.1 ms.
-const MOST_PAUSE: Duration = Duration::from_millis(60);
-/// Longest pause once an address has not answered for [`LONG_GONE`].
-const GONE_PAUSE: Duration = Duration::from_secs(3);
-/// See [`GONE_PAUSE`].
+const INITIAL_PAUSE: Duration = Duration::from_millis(40);
+/// Longest pause before dialling again. It is short because a restarted process serves no batch
+/// before it is linked.
+const MAX_PAUSE: Duration = Duration::from_millis(60);
+/// Longest pause before dialling an address again that has not answered for [`LONG_GONE`].
+const LONG_GONE_MAX_PAUSE: Duration = Duration::from_secs(3);
+/// Time without an answer after which an address is dialled less often.
 const LONG_GONE: Duration = Duration::from_secs(10);
-/// Number of a task that keeps a connection.
+/// Identifies the task that keeps a connection to an address.
 type DialNumber = u64;
 
-/// Path of the links.
+/// HTTP path at which links are opened.
 const PATH: &str = "/links";
 
-/// What links tell.
+/// Receives the events of links.
 pub trait LinkSink {
-    /// A link stands; the address that was dialled, if this side did so.
+    /// A link is open; `dialled` is its address if this side dialled it.
     fn link_up(&self, link: SessionId, dialled: Option<SocketAddr>);
-    /// A packet has come.
+    /// A packet has arrived.
     fn packet(&self, link: SessionId, packet: Packet);
-    /// A link is gone.
+    /// A link is closed.
     fn link_down(&self, link: SessionId);
 }
 
 /// The links of one process.
 pub struct NodeLinks {
     writers: RefCell<BTreeMap<SessionId, mpsc::Sender<Vec<u8>>>>,
-    /// Addresses that a connection is kept to, each with the number of the task that does so.
+    /// Addresses to which a connection is kept, each with the number of the task that keeps it.
     dialled: RefCell<BTreeMap<SocketAddr, DialNumber>>,
     next_dial: Cell<DialNumber>,
     next_link: Cell<SessionId>,
-    /// Bytes sent since the start, by what they were for.
+    /// Bytes sent since the start, by kind of packet.
     bytes_sent: RefCell<BTreeMap<&'static str, u64>>,
     bytes_received: Cell<u64>,
 }
 
 impl NodeLinks {
-    /// No links yet.
+    /// Creates an empty set of links.
     pub fn new() -> Rc<Self> {
         Rc::new(Self {
             writers: RefCell::default(),
@@ -87,12 +88,12 @@
         self.bytes_received.get()
     }
 
-    /// Bytes sent since the start, by what they were for.
+    /// Bytes sent since the start, by kind of packet.
     pub fn bytes_sent(&self) -> BTreeMap<&'static str, u64> {
         self.bytes_sent.borrow().clone()
     }
 
-    /// Sends a packet; a link that can't take it is closed.
+    /// Queues a packet for sending; closes the link if its queue is full.
     pub fn send(&self, link: SessionId, packet: &Packet) {
         let mut writers = self.writers.borrow_mut();
         let Some(writer) = writers.get(&link) else {
@@ -106,12 +107,12 @@
         }
     }
 
-    /// Closes a link once what was sent before is written.
+    /// Closes a link once its queued packets are written.
     pub fn close(&self, link: SessionId) {
         self.writers.borrow_mut().remove(&link);
     }
 
-    /// Keeps a connection to an address from now on.
+    /// Connects to an address and reconnects whenever the connection is lost.
     pub fn dial(self: &Rc<Self>, address: SocketAddr, sink: Rc<dyn LinkSink>) {
         if self.dialled.borrow().contains_key(&address) {
             return;
@@ -120,10 +121,11 @@
         self.next_dial.set(number + 1);
         self.dialled.borrow_mut().insert(address, number);
         let links = self.clone();
-        ntex::rt::spawn(links.keep_dialled(address, number, sink));
+        ntex::rt::spawn(links.maintain_connection(address, number, sink));
     }
 
-    /// Keeps no connection to an address any more. A link that stands is closed by its number.
+    /// Stops reconnecting to an address. An open link to it must be closed with
+    /// [`NodeLinks::close`].
     pub fn disconnect(&self, address: SocketAddr) {
         self.dialled.borrow_mut().remove(&address);
     }
@@ -132,33 +134,33 @@
         self.dialled.borrow().get(&address) == Some(&number)
     }
 
-    async fn keep_dialled(
+    async fn maintain_connection(
         self: Rc<Self>,
         address: SocketAddr,
         number: DialNumber,
         sink: Rc<dyn LinkSink>,
     ) {
-        let mut pause = FIRST_PAUSE;
-        let mut reached = BootInstant::now();
+        let mut pause = INITIAL_PAUSE;
+        let mut last_reached = BootInstant::now();
         while self.is_kept(address, number) {
             let socket = dial_once(address).await;
             if let Some(socket) = socket.filter(|_| self.is_kept(address, number)) {
-                pause = FIRST_PAUSE;
-                self.run(socket, Some(address), &sink).await;
-                reached = BootInstant::now();
+                pause = INITIAL_PAUSE;
+                self.run_link(socket, Some(address), &sink).await;
+                last_reached = BootInstant::now();
             }
             let jittered = pause.mul_f64(rand::rng().random_range(0.7..1.3));
             tokio::time::sleep(jittered).await;
-            let most = if reached.elapsed() < LONG_GONE {
-                MOST_PAUSE
+            let max_pause = if last_reached.elapsed() < LONG_GONE {
+                MAX_PAUSE
             } else {
-                GONE_PAUSE
+                LONG_GONE_MAX_PAUSE
             };
-            pause = (pause * 2).min(most);
+            pause = (pause * 2).min(max_pause);
         }
     }
 
-    /// Accepts links. Never returns.
+    /// Accepts links from other processes. Never returns.
     pub async fn accept_all(self: Rc<Self>, listener: TcpListener, sink: Rc<dyn LinkSink>) {
         loop {
             match listener.accept().await {
@@ -167,9 +169,9 @@
                     ntex::rt::spawn(async move { links.accept_one(stream, sink).await });
                 }
                 Err(e) => {
-                    let detail = format!("accepting links: {e}");
+                    let detail = format!("cannot accept a link: {e}");
                     LogEvent::new(EventCode::MalformedFrame, detail).emit();
-                    tokio::time::sleep(FIRST_PAUSE).await;
+                    tokio::time::sleep(INITIAL_PAUSE).await;
                 }
             }
         }
@@ -179,13 +181,13 @@
         let _ = stream.set_nodelay(true);
         let config = Some(socket_config());
         let accepted = tokio_tungstenite::accept_async_with_config(stream, config);
-        if let Ok(Ok(socket)) = timeout(HANDSHAKE_LIMIT, accepted).await {
-            self.run(socket, None, &sink).await;
+        if let Ok(Ok(socket)) = timeout(HANDSHAKE_TIMEOUT, accepted).await {
+            self.run_link(socket, None, &sink).await;
         }
     }
 
-    /// Carries packets until either side ends the link.
-    async fn run(
+    /// Runs a link until either side closes it.
+    async fn run_link(
         &self,
         socket: WebSocketStream<TcpStream>,
         dialled: Option<SocketAddr>,
@@ -193,15 +195,15 @@
     ) {
         let link = self.next_link.get();
         self.next_link.set(link + 1);
-        let (tx, rx) = mpsc::channel(MOST_UNSENT);
+        let (tx, rx) = mpsc::channel(MAX_UNSENT_PACKETS);
         self.writers.borrow_mut().insert(link, tx);
         sink.link_up(link, dialled);
-        self.carry(link, socket, rx, sink).await;
+        self.transfer_packets(link, socket, rx, sink).await;
         self.writers.borrow_mut().remove(&link);
         sink.link_down(link);
     }
 
-    async fn carry(
+    async fn transfer_packets(
         &self,
         link: SessionId,
         socket: WebSocketStream<TcpStream>,
@@ -243,12 +245,12 @@
 }
 
 async fn dial_once(address: SocketAddr) -> Option<WebSocketStream<TcpStream>> {
-    let connected = timeout(CONNECT_LIMIT, TcpStream::connect(address)).await;
+    let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let stream = connected.ok()?.ok()?;
     let _ = stream.set_nodelay(true);
     let url = format!("ws://{address}{PATH}");
     let config = Some(socket_config());
     let dialled = tokio_tungstenite::client_async_with_config(url, stream, config);
-    let (socket, _) = timeout(HANDSHAKE_LIMIT, dialled).await.ok()?.ok()?;
+    let (socket, _) = timeout(HANDSHAKE_TIMEOUT, dialled).await.ok()?.ok()?;
     Some(socket)
 }
--- a/lib/src/payload.rs
+++ b/lib/src/payload.rs
@@ -1,8 +1,7 @@
-//! A batch's payload as it travels from an entry to agents: packed, if that makes it smaller.
+//! Encodes a batch's payload for the links from entries to agents, compressed if that makes it
+//! smaller.
 //!
-//! It is packed once a batch and sent to each target that runs some of it. Letters that carry four
-//! bits each shrink to 53% in 8 us for 1,200 bytes, against 180 us that the saved half takes on a link
-//! of 25 Mbit/s (loop over 200 random texts, one core).
+//! A payload is compressed once per batch and sent to every target that runs some of its tasks.
 
 use std::io;
 use std::sync::Arc;
@@ -12,45 +11,46 @@
 use snafu::{ResultExt as _, Snafu};
 use zstd::bulk::{Compressor, Decompressor};
 
-/// Shorter payloads are not packed: the orders around them are as long.
-const LEAST_PACKED: usize = 200;
-/// A packed payload is sent if it is no larger than this share of the text.
-const WORTHWHILE: f64 = 0.9;
-/// Level of the library with the least work; higher ones gain 1 to 2% here.
-const LEVEL: i32 = 1;
-/// Longest text that is unpacked, in bytes: far above what callers may send.
-const MOST_UNPACKED: usize = 1 << 20;
+/// Minimum size in bytes of a payload that is compressed. For a shorter one the order around it
+/// outweighs the saving.
+const MIN_COMPRESSED_LEN: usize = 200;
+/// Maximum ratio of compressed size to text size at which the compressed payload is sent.
+const MAX_COMPRESSION_RATIO: f64 = 0.9;
+/// Compression level of zstd: the fastest of the regular levels.
+const COMPRESSION_LEVEL: i32 = 1;
+/// Maximum size of a decompressed text in bytes, well above the limit for callers.
+const MAX_TEXT_LEN: usize = 1 << 20;
 
 /// A payload on a link.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// As the caller sent it.
+    /// The text as the caller sent it.
     #[serde(rename = "t")]
     Text(Arc<str>),
-    /// Packed.
+    /// The text compressed with zstd.
     #[serde(rename = "z")]
     Packed(Arc<ByteBuf>),
 }
 
-/// Bytes that are no packed payload.
+/// Why a compressed payload could not be decoded.
 #[derive(Debug, Snafu)]
 pub enum PayloadError {
-    /// The library can't unpack them.
-    #[snafu(display("packed payload: {source}"))]
+    /// The bytes are not a valid compressed payload, or their text is too large.
+    #[snafu(display("cannot decompress payload: {source}"))]
     Malformed {
-        /// Cause.
+        /// Error of the compression library.
         source: io::Error,
     },
-    /// They don't unpack to a text.
-    #[snafu(display("packed payload: {source}"))]
-    NoText {
-        /// Cause.
+    /// The decompressed bytes are not valid UTF-8.
+    #[snafu(display("decompressed payload is not valid UTF-8: {source}"))]
+    NotUtf8 {
+        /// The decoding error.
         source: std::string::FromUtf8Error,
     },
 }
 
 impl Payload {
-    /// Its bytes on a link.
+    /// Size on a link, in bytes.
     pub fn len(&self) -> usize {
         match self {
             Self::Text(text) => text.len(),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Whether there is nothing in it.
+    /// Whether the payload is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -70,44 +70,44 @@
     }
 }
 
-/// Packs payloads; it keeps the library's buffers from one to the next.
+/// Compresses payloads and reuses the library's buffers between them.
 pub struct PayloadPacker {
-    /// None if the library can't be had: then nothing is packed.
+    /// `None` if the library could not be initialized; payloads are then sent as text.
     compressor: Option<Compressor<'static>>,
 }
 
 impl Default for PayloadPacker {
     fn default() -> Self {
-        let compressor = Compressor::new(LEVEL).ok();
+        let compressor = Compressor::new(COMPRESSION_LEVEL).ok();
         Self { compressor }
     }
 }
 
 impl PayloadPacker {
-    /// A payload as it is to be sent.
+    /// Encodes a payload for sending.
     pub fn pack(&mut self, text: &Arc<str>) -> Payload {
-        let packed = self.packed(text);
+        let packed = self.compress(text);
         packed.map_or_else(|| Payload::Text(text.clone()), Payload::Packed)
     }
 
-    fn packed(&mut self, text: &str) -> Option<Arc<ByteBuf>> {
-        if text.len() < LEAST_PACKED {
+    fn compress(&mut self, text: &str) -> Option<Arc<ByteBuf>> {
+        if text.len() < MIN_COMPRESSED_LEN {
             return None;
         }
         let packed = self.compressor.as_mut()?.compress(text.as_bytes()).ok()?;
-        let is_worthwhile = packed.len() as f64 <= text.len() as f64 * WORTHWHILE;
-        is_worthwhile.then(|| Arc::new(ByteBuf::from(packed)))
+        let is_small_enough = packed.len() as f64 <= text.len() as f64 * MAX_COMPRESSION_RATIO;
+        is_small_enough.then(|| Arc::new(ByteBuf::from(packed)))
     }
 }
 
-/// Unpacks payloads; it keeps the library's buffers from one to the next.
+/// Decodes payloads and reuses the library's buffers between them.
 #[derive(Default)]
 pub struct PayloadUnpacker {
     decompressor: Option<Decompressor<'static>>,
 }
 
 impl PayloadUnpacker {
-    /// The text.
+    /// Decodes the text of a payload.
     pub fn unpack(&mut self, payload: &Payload) -> Result<Arc<str>, PayloadError> {
         let bytes = match payload {
             Payload::Text(text) => return Ok(text.clone()),
@@ -119,8 +119,8 @@
                 .decompressor
                 .insert(Decompressor::new().context(MalformedSnafu)?),
         };
-        let text = decompressor.decompress(bytes, MOST_UNPACKED);
-        let text = String::from_utf8(text.context(MalformedSnafu)?).context(NoTextSnafu)?;
+        let text = decompressor.decompress(bytes, MAX_TEXT_LEN);
+        let text = String::from_utf8(text.context(MalformedSnafu)?).context(NotUtf8Snafu)?;
         Ok(text.into())
     }
 }
--- a/lib/src/payload_cache.rs
+++ b/lib/src/payload_cache.rs
@@ -1,8 +1,8 @@
-//! Payloads that entries have sent to an agent.
+//! Caches the payloads that entries have sent to an agent.
 //!
-//! A batch whose tasks find their places one after the other needs its payload once at each target.
-//! An entry names a batch whose payload it has sent on the same link before; the agent says so if it
-//! has forgotten it, and the entry sends it again.
+//! Tasks of one batch may reach a target one after the other, and the payload is sent only with the
+//! first. Later orders refer to it by the batch; if the agent no longer has it, the agent says so
+//! and the entry sends it again.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -10,39 +10,39 @@
 use crate::ids::SessionId;
 use crate::run::BatchId;
 
-/// Payloads kept: what a target of ten places that ends a task every 20 ms gets in some five seconds.
-const MOST_KEPT: usize = 256;
+/// Maximum number of cached payloads.
+const MAX_PAYLOADS: usize = 256;
 
 #[derive(Debug)]
-struct Kept {
+struct CachedPayload {
     link: SessionId,
     batch: BatchId,
     payload: Arc<str>,
 }
 
-/// See the module.
+/// Least-recently-used cache of payloads by link and batch.
 #[derive(Debug, Default)]
 pub struct PayloadCache {
-    /// Those used last stand last.
-    kept: VecDeque<Kept>,
+    /// Cached payloads, the most recently used last.
+    kept: VecDeque<CachedPayload>,
 }
 
 impl PayloadCache {
-    /// Keeps a payload that came on a link.
+    /// Stores a payload that arrived on a link.
     pub fn keep(&mut self, link: SessionId, batch: BatchId, payload: &Arc<str>) {
         self.take(link, batch);
-        if self.kept.len() >= MOST_KEPT {
+        if self.kept.len() >= MAX_PAYLOADS {
             self.kept.pop_front();
         }
         let payload = payload.clone();
-        self.kept.push_back(Kept {
+        self.kept.push_back(CachedPayload {
             link,
             batch,
             payload,
         });
     }
 
-    fn take(&mut self, link: SessionId, batch: BatchId) -> Option<Kept> {
+    fn take(&mut self, link: SessionId, batch: BatchId) -> Option<CachedPayload> {
         let position = self
             .kept
             .iter()
@@ -50,7 +50,7 @@
         self.kept.remove(position)
     }
 
-    /// The payload that came on a link for a batch, if it is still known.
+    /// Returns the payload of a batch that arrived on a link, if it is still cached.
     pub fn get(&mut self, link: SessionId, batch: BatchId) -> Option<Arc<str>> {
         let kept = self.take(link, batch)?;
         let payload = kept.payload.clone();
@@ -58,7 +58,7 @@
         Some(payload)
     }
 
-    /// Forgets what came on a link, for it is gone.
+    /// Drops the payloads of a closed link.
     pub fn forget(&mut self, link: SessionId) {
         self.kept.retain(|k| k.link != link);
     }
