--- a/lib/src/frame_order.rs
+++ b/lib/src/frame_order.rs
@@ -1,4 +1,4 @@
-//! Numbers the frames of a session, so that copies are dropped and a loss is seen.
+//! Numbers the frames of a session to detect duplicates and losses.
 
 use crate::message::Frame;
 
@@ -9,12 +9,12 @@
 }
 
 impl FrameSender {
-    /// A session on which `sent` frames have been sent.
+    /// Creates the sender of a session on which `sent` frames were sent.
     pub fn after(sent: u64) -> Self {
         Self { sent }
     }
 
-    /// Numbers the next frame.
+    /// Creates the next frame with its number.
     pub fn frame<M>(&mut self, messages: Vec<M>) -> Frame<M> {
         self.sent += 1;
         Frame {
@@ -24,14 +24,14 @@
     }
 }
 
-/// Where a frame stands in its session.
+/// Position of a received frame relative to the last accepted one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FrameOrder {
-    /// The next one.
+    /// The next frame.
     Next,
-    /// A copy of one that was taken in.
+    /// A duplicate of an accepted frame.
     Copy,
-    /// One before it is missing: the session has to be closed.
+    /// An earlier frame is missing; the session must be closed.
     Gap,
 }
 
@@ -42,12 +42,12 @@
 }
 
 impl FrameReceiver {
-    /// A session on which `received` frames have been received.
+    /// Creates the receiver of a session on which `received` frames were received.
     pub fn after(received: u64) -> Self {
         Self { received }
     }
 
-    /// Judges a frame by its number.
+    /// Classifies a frame by its number and accepts it if it is the next one.
     pub fn accept(&mut self, n: u64) -> FrameOrder {
         if n <= self.received {
             return FrameOrder::Copy;
--- a/lib/src/outbox.rs
+++ b/lib/src/outbox.rs
@@ -1,4 +1,4 @@
-//! Messages collected per session during one event, sent as one frame each.
+//! Collects the messages for each session during one event and sends them as one frame per session.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,35 +8,35 @@
 use crate::ids::{Incarnation, Now, SessionId};
 use crate::message::{EntryMessage, Frame, PeerMessage};
 
-/// How long a session may be silent unless set otherwise: well over the longest time between
-/// reports of a peer.
-const LONGEST_SILENCE: Duration = Duration::from_secs(20);
+/// Default time without a frame after which a session counts as silent. It exceeds the longest
+/// interval between reports of a peer.
+const DEFAULT_SILENCE_LIMIT: Duration = Duration::from_secs(20);
 
 /// Sessions with agents.
 pub type AgentOutboxes = Outboxes<EntryMessage, AgentLink>;
 /// Sessions with peers.
 pub type PeerOutboxes = Outboxes<PeerMessage, PeerLink>;
 
-/// What a core keeps of an agent's session.
+/// State that a core keeps for an agent's session.
 #[derive(Debug, Default)]
 pub struct AgentLink;
 
-/// What a core keeps of a peer's session.
+/// State that a core keeps for a peer's session.
 #[derive(Debug)]
 pub struct PeerLink {
     /// Name of the peer.
     pub name: Arc<str>,
-    /// Life of the peer.
+    /// Incarnation of the peer.
     pub incarnation: Incarnation,
-    /// Address of the peer for agents.
+    /// Address of the peer to which agents connect.
     pub agent_address: String,
-    /// Work that waits there, in milliseconds of one slot.
+    /// Work that waits at the peer, in milliseconds of one slot.
     pub waiting_work_ms: u64,
-    /// When the last report was sent to it.
+    /// When the last report was sent to the peer.
     pub reported_at: Now,
 }
 
-/// A session's order of frames and what waits to be sent.
+/// Frame numbers, silence limit and unsent messages of one session.
 #[derive(Debug)]
 struct Link<M, S> {
     state: S,
@@ -47,28 +47,29 @@
     messages: Vec<M>,
 }
 
-/// Sessions of one kind.
+/// The open sessions of one kind, with their unsent messages.
 #[derive(Debug)]
 pub struct Outboxes<M, S> {
     links: BTreeMap<SessionId, Link<M, S>>,
-    dirty: Vec<SessionId>,
+    /// Sessions with unsent messages.
+    unflushed: Vec<SessionId>,
 }
 
 impl<M, S> Default for Outboxes<M, S> {
     fn default() -> Self {
         Self {
             links: BTreeMap::new(),
-            dirty: Vec::new(),
+            unflushed: Vec::new(),
         }
     }
 }
 
-/// Frames that a driver has exchanged before the core takes a session over.
+/// Numbers of frames exchanged on a session before the core takes it over.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Passed {
-    /// Sent by this side.
+    /// Frames sent by this side.
     pub sent: u64,
-    /// Received from the other side.
+    /// Frames received from the other side.
     pub received: u64,
 }
 
@@ -76,20 +77,20 @@
 pub type SessionFrame<M> = (SessionId, Frame<M>);
 
 impl<M, S> Outboxes<M, S> {
-    /// Adds a session on which some frames, the hellos, have passed already.
+    /// Adds a session on which the hello frames have already been exchanged.
     pub fn open(&mut self, session: SessionId, state: S, passed: Passed, now: Now) {
         let link = Link {
             state,
             sender: FrameSender::after(passed.sent),
             receiver: FrameReceiver::after(passed.received),
             heard_at: now,
-            silence: LONGEST_SILENCE,
+            silence: DEFAULT_SILENCE_LIMIT,
             messages: Vec::new(),
         };
         self.links.insert(session, link);
     }
 
-    /// Drops a session with what waits for it.
+    /// Drops a session with its unsent messages and returns its state.
     pub fn close(&mut self, session: SessionId) -> Option<S> {
         self.links.remove(&session).map(|link| link.state)
     }
@@ -99,27 +100,27 @@
         self.links.contains_key(&session)
     }
 
-    /// Judges a frame that has come; none if the session is not open.
+    /// Classifies a received frame by its number; `None` if the session is not open.
     pub fn accept(&mut self, session: SessionId, n: u64, now: Now) -> Option<FrameOrder> {
         let link = self.links.get_mut(&session)?;
         link.heard_at = now;
         Some(link.receiver.accept(n))
     }
 
-    /// Collects a message.
+    /// Adds a message to the session's next frame.
     pub fn push(&mut self, session: SessionId, message: M) {
         if let Some(link) = self.links.get_mut(&session) {
             if link.messages.is_empty() {
-                self.dirty.push(session);
+                self.unflushed.push(session);
             }
             link.messages.push(message);
         }
     }
 
-    /// Frames of all that was collected.
+    /// Takes all unsent messages, as one frame per session.
     pub fn flush(&mut self) -> Vec<SessionFrame<M>> {
-        let mut frames = Vec::with_capacity(self.dirty.len());
-        for session in self.dirty.drain(..) {
+        let mut frames = Vec::with_capacity(self.unflushed.len());
+        for session in self.unflushed.drain(..) {
             if let Some(link) = self.links.get_mut(&session)
                 && !link.messages.is_empty()
             {
@@ -130,14 +131,14 @@
         frames
     }
 
-    /// Sets after how long without a frame a session counts as silent.
+    /// Sets the time without a frame after which a session counts as silent.
     pub fn set_silence(&mut self, session: SessionId, silence: Duration) {
         if let Some(link) = self.links.get_mut(&session) {
             link.silence = silence;
         }
     }
 
-    /// Sessions not heard from for longer than they may be silent.
+    /// Sessions whose last frame arrived longer ago than their silence limit.
     pub fn silent(&self, now: Now) -> Vec<SessionId> {
         let is_silent = |l: &Link<M, S>| now.saturating_sub(l.heard_at) > l.silence;
         let silent = self.links.iter().filter(|(_, l)| is_silent(l));
@@ -149,12 +150,12 @@
         self.links.keys().copied().collect()
     }
 
-    /// State of a session.
+    /// Mutable state of a session.
     pub fn get_mut(&mut self, session: SessionId) -> Option<&mut S> {
         self.links.get_mut(&session).map(|l| &mut l.state)
     }
 
-    /// State of a session, to look at.
+    /// State of a session.
     pub fn state(&self, session: SessionId) -> Option<&S> {
         self.links.get(&session).map(|l| &l.state)
     }
--- a/lib/src/run_message.rs
+++ b/lib/src/run_message.rs
@@ -1,8 +1,8 @@
 //! Messages between entries and agents, and between entries, for batches on the platform.
 //!
-//! A link is one WebSocket connection; a packet is one message on it. Packets of one link arrive
-//! whole and in order, or the link is gone: TCP sees to that. What a lost link leaves open is
-//! settled by [`Order::Welcome`], which names every run that the entry still waits for.
+//! A link is one WebSocket connection, and a packet is one message on it. Packets of one link
+//! arrive whole and in order until the link breaks. After a reconnect [`Order::Welcome`] resolves
+//! what was lost: it lists every run that the entry still waits for.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,10 +18,10 @@
 use crate::target_health::HealthReport;
 use crate::target_incarnation::TargetIncarnation;
 
-/// Milliseconds on the clock of one agent's life, from its start.
+/// Milliseconds since the start of one incarnation of an agent.
 pub type AgentMillis = u64;
 
-/// What travels on a link.
+/// One message on a link.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Packet {
     /// From an agent to an entry.
@@ -35,27 +35,28 @@
     BetweenEntries(PeerPacket),
 }
 
-/// Bytes around a packet: a frame of WebSocket, heads of TCP and IP, fields that every packet has.
-const PACKET_BYTES: usize = 70;
-/// Bytes of an order or a piece of news without what it carries.
-const SMALL_BYTES: usize = 40;
-/// Bytes of an order to start without its payload, and of the packet around it.
+/// Overhead of a packet in bytes: the headers of WebSocket, TCP and IP, and the fields that every
+/// packet has.
+const PACKET_OVERHEAD_BYTES: usize = 70;
+/// Approximate size of an order or a piece of news without its variable content, in bytes.
+const SMALL_ITEM_BYTES: usize = 40;
+/// Approximate size of a start order without its payload, including its packet, in bytes.
 pub const START_BYTES: usize = 170;
-/// Bytes of a queue in a configuration.
+/// Approximate size of one queue in a configuration, in bytes.
 const QUEUE_BYTES: usize = 180;
 
 impl Packet {
-    /// About how many bytes it takes on a link, without orders to start.
+    /// Approximate size on a link without the start orders, in bytes.
     pub fn rough_bytes(&self) -> usize {
         let content = match self {
-            Self::FromAgent(packet) => packet.news.len() * SMALL_BYTES,
+            Self::FromAgent(packet) => packet.news.len() * SMALL_ITEM_BYTES,
             Self::FromEntry(packet) => packet.orders.iter().map(Order::rough_bytes).sum(),
             Self::BetweenEntries(packet) => packet.news.iter().map(PeerNews::rough_bytes).sum(),
         };
-        PACKET_BYTES + content
+        PACKET_OVERHEAD_BYTES + content
     }
 
-    /// What it is for, for counting what links carry.
+    /// The kind under which the traffic metrics count this packet.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::FromAgent(packet) if packet.news.is_empty() => "load",
@@ -66,20 +67,20 @@
     }
 }
 
-/// What an agent tells an entry. Every packet carries the agent's clock and load, so that any of
-/// them serves as a heartbeat.
+/// A packet from an agent to an entry. Each one carries the agent's clock and load and thus serves
+/// as a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AgentPacket {
-    /// The agent's clock when it wrote this.
+    /// The agent's clock when it wrote the packet.
     #[serde(rename = "t")]
     pub clock: AgentMillis,
-    /// Resources that are free, zero while the target may get no work.
+    /// Free resources; zero while the target may get no work.
     #[serde(rename = "f")]
     pub free: Resources,
     /// Starts of this entry that `free` takes into account, counted on this link.
     #[serde(rename = "s")]
     pub starts_seen: u64,
-    /// How well the target serves.
+    /// Health of the target.
     #[serde(rename = "h", default)]
     pub health: HealthReport,
     /// News, in order.
@@ -87,16 +88,16 @@
     pub news: Vec<AgentNews>,
 }
 
-/// One piece of news of an agent.
+/// One piece of news from an agent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum AgentNews {
-    /// First on every link.
+    /// The first news on every link.
     #[serde(rename = "H")]
     Hello(AgentIntro),
-    /// The target as it is now known; none while there is none.
+    /// The current target; `None` while there is none.
     #[serde(rename = "T")]
     Target(Option<TargetInfo>),
-    /// A run is over.
+    /// A run has ended.
     #[serde(rename = "E")]
     Ended {
         /// The run.
@@ -105,17 +106,17 @@
         /// How it ended.
         #[serde(rename = "e")]
         end: RunEnd,
-        /// How long it ran, in milliseconds; 0 if not known.
+        /// Run time in milliseconds; 0 if not known.
         #[serde(rename = "r")]
         ran_ms: u32,
     },
-    /// An order to start led to no run.
+    /// A start order led to no run.
     #[serde(rename = "X")]
     NotStarted {
         /// The run.
         #[serde(rename = "k")]
         key: RunKey,
-        /// Why.
+        /// Why it was not started.
         #[serde(rename = "w")]
         reason: NotStarted,
     },
@@ -128,57 +129,57 @@
         /// How long it has run, in milliseconds.
         #[serde(rename = "r")]
         ran_ms: u32,
-        /// How much of it is done, in percent.
+        /// Progress in percent.
         #[serde(rename = "p")]
         percent: u32,
     },
-    /// No new work on this link. Either the agent stops, and its next life adopts what still runs;
-    /// or it has links enough and will close this one once nothing of the entry runs there.
+    /// The agent takes no new work on this link. Either it is stopping, and its next incarnation
+    /// adopts the remaining runs; or it has enough links and closes this one once no run of the
+    /// entry is left.
     #[serde(rename = "L")]
     Leaving,
 }
 
-/// Who an agent is.
+/// Identity of an agent, sent in its hello.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentIntro {
-    /// Name of its VM's process.
+    /// Name of the process on its VM.
     pub name: NodeName,
-    /// Its life.
+    /// Incarnation of the agent.
     pub life: Incarnation,
-    /// Its data hall.
+    /// Data hall of its VM.
     pub hall: HallName,
 }
 
-/// One life of a target.
+/// One incarnation of a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetInfo {
-    /// The life.
+    /// Identity of the incarnation.
     pub life: TargetIncarnation,
     /// The service that it runs.
     pub service: Arc<str>,
-    /// All that it has.
+    /// Its total resources.
     pub capacity: Resources,
-    /// Its labels, the rack among them.
+    /// Its labels, including the rack.
     pub labels: Vec<String>,
-    /// Whether it is leaving.
+    /// Whether the target is leaving and takes no new work.
     pub leaving: bool,
 }
 
-/// What an entry tells an agent.
+/// A packet from an entry to an agent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EntryPacket {
-    /// Until when, on the agent's clock, the entry answers for its runs; past it the agent stops
-    /// them.
+    /// When the entry's lease on its runs lapses, on the agent's clock; the agent then stops them.
     #[serde(rename = "l")]
     pub lease_until: AgentMillis,
-    /// When, on the agent's clock, the entry last heard from the store; all that it heard has been
-    /// told on this link.
+    /// When the store last answered the entry, on the agent's clock. Everything that the entry had
+    /// learnt from the store by then was sent on this link.
     #[serde(rename = "k", default)]
     pub store_heard: AgentMillis,
-    /// Tasks that wait at the entry for free resources.
+    /// Number of tasks that wait at the entry for free resources.
     #[serde(rename = "w")]
     pub waiting: u32,
-    /// Orders, to be obeyed in turn.
+    /// Orders, executed in sequence.
     #[serde(rename = "o", default, skip_serializing_if = "Vec::is_empty")]
     pub orders: Vec<Order>,
 }
@@ -195,19 +196,19 @@
     }
 }
 
-/// One order of an entry.
+/// One order from an entry to an agent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Order {
-    /// Answer to a hello.
+    /// The answer to the agent's hello.
     #[serde(rename = "W")]
     Welcome(Welcome),
     /// Start tasks.
     #[serde(rename = "S")]
     Start(StartOrder),
-    /// Stop these runs; an end of each is awaited.
+    /// Stop these runs; the entry waits for the end of each.
     #[serde(rename = "K")]
     Stop(Vec<RunKey>),
-    /// More entries than the agent was told of before.
+    /// Entries that the agent was not told of before.
     #[serde(rename = "N")]
     Entries(Vec<SocketAddr>),
     /// The evacuated halls have changed.
@@ -219,28 +220,28 @@
     fn rough_bytes(&self) -> usize {
         match self {
             Self::Start(_) => 0,
-            Self::Stop(runs) => SMALL_BYTES + runs.len() * SMALL_BYTES,
+            Self::Stop(runs) => SMALL_ITEM_BYTES + runs.len() * SMALL_ITEM_BYTES,
             Self::Welcome(welcome) => {
                 let named = welcome.claims.len() + welcome.entries.len();
-                SMALL_BYTES * (1 + named)
+                SMALL_ITEM_BYTES * (1 + named)
             }
-            Self::Entries(_) | Self::Evacuations(_) => SMALL_BYTES,
+            Self::Entries(_) | Self::Evacuations(_) => SMALL_ITEM_BYTES,
         }
     }
 }
 
-/// An entry's answer to an agent's hello.
+/// An entry's answer to an agent's hello: its identity, what it knows and the runs it waits for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Welcome {
-    /// Name of the entry's VM's process.
+    /// Name of the process on the entry's VM.
     pub name: NodeName,
-    /// The entry's life.
+    /// Incarnation of the entry.
     pub life: Incarnation,
-    /// Entries that it knows, by the address of their links.
+    /// Link addresses of the entries that it knows.
     pub entries: Vec<SocketAddr>,
-    /// Runs that it waits for here, with what each takes.
+    /// Runs at this agent that the entry waits for, with the resources of each.
     pub claims: Vec<(RunKey, Resources)>,
-    /// Evacuated halls.
+    /// The evacuated halls.
     pub evacuations: Arc<EvacuatedHalls>,
 }
 
@@ -253,31 +254,31 @@
     /// The step.
     #[serde(rename = "s")]
     pub step: u16,
-    /// The service whose targets may run it.
+    /// The service whose targets may run the tasks.
     #[serde(rename = "v")]
     pub service: Arc<str>,
-    /// What every task is given; none if it was sent on this link before.
+    /// The payload of every task; `None` if it was sent on this link before.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub payload: Option<Payload>,
-    /// What each task takes.
+    /// Resources that each task takes.
     #[serde(rename = "z")]
     pub size: Resources,
-    /// How long each may take, in milliseconds.
+    /// Estimated run time of each task, in milliseconds.
     #[serde(rename = "e")]
     pub estimate_ms: u32,
-    /// Not to be obeyed later than this, on the agent's clock.
+    /// Latest time for a start, on the agent's clock.
     #[serde(rename = "u")]
     pub start_by: AgentMillis,
-    /// Whether the task is to have the target for itself: it is suspected of crashing targets.
+    /// Whether the task must run alone on the target because it is suspected of crashing targets.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub alone: bool,
-    /// Position in the step and number of the run.
+    /// Position of each task in the step, with the number of its run.
     #[serde(rename = "k")]
     pub runs: Vec<(u16, RunNumber)>,
 }
 
 impl StartOrder {
-    /// The runs.
+    /// Keys of the runs to start.
     pub fn keys(&self) -> impl Iterator<Item = RunKey> {
         let (batch, step) = (self.batch, self.step);
         self.runs.iter().map(move |&(index, run)| {
@@ -292,7 +293,7 @@
     }
 }
 
-/// What entries tell each other.
+/// A packet between two entries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PeerPacket {
     /// News, in order.
@@ -310,35 +311,35 @@
     }
 }
 
-/// One piece of news of an entry to another.
+/// One piece of news from one entry to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerNews {
-    /// First on every link, from both sides.
+    /// The first news on every link, sent by both sides.
     Hello(PeerIntro),
-    /// The version of a configuration newer than the one that the other is known to hold.
+    /// A configuration version newer than the one that the receiver is known to hold.
     ConfigVersion(ConfigVersion),
-    /// The other is to send its configuration.
+    /// Asks the receiver for its configuration.
     WantConfig,
-    /// The configuration, for one who wants it.
+    /// The configuration, in answer to [`PeerNews::WantConfig`].
     Config(Arc<QueueTable>),
-    /// Evacuated halls, as of a later place than the other is known to hold.
+    /// The evacuated halls, as of a later store position than the receiver is known to have.
     Evacuations(Arc<EvacuatedHalls>),
-    /// More entries than the other was told of before.
+    /// Entries that the receiver was not told of before.
     Entries(Vec<SocketAddr>),
-    /// A batch whose caller has gone while runs of it are out: the caller may come to another entry,
-    /// which must not start it before these runs are over.
+    /// A batch whose caller has gone while it has open runs. The caller may retry at another entry,
+    /// which must not start the batch before these runs end.
     Closing(ClosingBatch),
-    /// A batch named so before, of which nothing runs any more.
+    /// A batch that was announced as [`PeerNews::Closing`] and has no open runs any more.
     Closed(ClosingBatch),
-    /// Sign of life on a quiet link.
+    /// Sent on an idle link to show that the sender is alive.
     Heartbeat,
 }
 
 impl PeerNews {
     fn rough_bytes(&self) -> usize {
         match self {
-            Self::Config(table) => SMALL_BYTES + table.queues.len() * QUEUE_BYTES,
-            _ => SMALL_BYTES,
+            Self::Config(table) => SMALL_ITEM_BYTES + table.queues.len() * QUEUE_BYTES,
+            _ => SMALL_ITEM_BYTES,
         }
     }
 }
@@ -349,7 +350,7 @@
 pub struct ClosingBatch {
     /// The batch.
     pub batch: BatchId,
-    /// Life of the entry.
+    /// Incarnation of the entry.
     pub entry: Incarnation,
 }
 
@@ -365,18 +366,18 @@
     }
 }
 
-/// Who an entry is.
+/// Identity of an entry and what it knows, sent in its hello.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerIntro {
-    /// Name of its VM's process.
+    /// Name of the process on its VM.
     pub name: NodeName,
-    /// Its life.
+    /// Incarnation of the entry.
     pub life: Incarnation,
-    /// Address of its links.
+    /// Address at which it accepts links.
     pub address: SocketAddr,
     /// Version of the configuration that it holds.
     pub config: ConfigVersion,
-    /// Place in the log up to which it knows the evacuations.
+    /// Store position up to which it knows the evacuations.
     pub evacuations: StorePosition,
     /// Entries that it knows.
     pub entries: Vec<SocketAddr>,
