--- a/lib/src/agent_node.rs
+++ b/lib/src/agent_node.rs
@@ -1,4 +1,4 @@
-//! An agent on the platform: its core with links, timer and target on one thread.
+//! An agent on the platform: runs the agent's core with its links, timer and target on one thread.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 use crate::target_incarnation::TargetName;
 use crate::target_lease::Renewal;
 
-/// See the module.
+/// Drives an agent's core: delivers events to it and executes its actions.
 pub struct AgentNode {
     me: Weak<AgentNode>,
     core: RefCell<RunAgentCore>,
@@ -36,7 +36,7 @@
 }
 
 impl AgentNode {
-    /// An agent beside a target. Must be called on the thread that is to run it.
+    /// Starts an agent beside a target. Must be called on the thread that runs it.
     pub fn start(
         options: AgentOptions,
         target: Rc<dyn TargetPort>,
@@ -57,23 +57,23 @@
             suspensions: SuspensionWatch::start(),
             ended: Notify::new(),
         });
-        let woken = node.clone();
-        ntex::rt::spawn(timer.run(move || woken.tell(AgentEvent::Wake)));
+        let node_to_wake = node.clone();
+        ntex::rt::spawn(timer.run(move || node_to_wake.tell(AgentEvent::Wake)));
         node.tell(AgentEvent::Wake);
         node
     }
 
-    /// Tells the core something and carries out what it wants. It hears first of a suspension, for
-    /// what is known of the target's lease was true before it.
+    /// Passes an event to the core and executes the resulting actions. A suspension of the VM is
+    /// passed first, because it changes when the target's lease lapses.
     pub fn tell(&self, event: AgentEvent) {
         let suspended = self.suspensions.take();
         if !suspended.is_zero() {
-            self.tell_core(AgentEvent::Resumed(suspended));
+            self.handle_event(AgentEvent::Resumed(suspended));
         }
-        self.tell_core(event);
+        self.handle_event(event);
     }
 
-    fn tell_core(&self, event: AgentEvent) {
+    fn handle_event(&self, event: AgentEvent) {
         let actions = {
             let mut core = self.core.borrow_mut();
             let actions = core.handle(self.timer.now(), event);
@@ -81,11 +81,11 @@
             actions
         };
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    fn carry_out(&self, action: AgentAction) {
+    fn execute(&self, action: AgentAction) {
         match action {
             AgentAction::Send(link, packet) => self.links.send(link, &Packet::FromAgent(packet)),
             AgentAction::Close(link) => self.links.close(link),
@@ -95,26 +95,25 @@
             AgentAction::Stop {
                 key,
                 token,
-                target_name: life,
+                target_name,
             } => {
-                ntex::rt::spawn(self.target.stop(key, token, life));
+                ntex::rt::spawn(self.target.stop(key, token, target_name));
             }
             AgentAction::Renew {
                 renewal,
-                target_name: life,
-            } => self.renew(renewal, life),
-            AgentAction::CheckIncarnation {
-                look,
-                target_name: life,
-            } => self.ask_life(look, life),
-            AgentAction::AskEvacuations => self.ask_evacuations(),
-            AgentAction::AskEntries => self.ask_entries(),
+                target_name,
+            } => self.renew(renewal, target_name),
+            AgentAction::CheckIncarnation { look, target_name } => {
+                self.check_incarnation(look, target_name)
+            }
+            AgentAction::AskEvacuations => self.read_evacuations(),
+            AgentAction::AskEntries => self.list_entries(),
             AgentAction::Log(event) => self.log(event),
             AgentAction::Exit => self.ended.notify_one(),
         }
     }
 
-    /// Writes a line to the log and counts it on the metrics page.
+    /// Writes a line to the log and counts it in the metrics.
     pub fn log(&self, event: LogEvent) {
         self.figures.event(event.code);
         event.emit();
@@ -140,43 +139,43 @@
         });
     }
 
-    fn renew(&self, renewal: Renewal, life: Option<TargetName>) {
+    fn renew(&self, renewal: Renewal, target_name: Option<TargetName>) {
         let Some(me) = self.me.upgrade() else {
             return;
         };
         let number = renewal.number;
-        let answer = self.target.renew(renewal, life);
+        let answer = self.target.renew(renewal, target_name);
         ntex::rt::spawn(async move {
             let answer = answer.await;
             me.tell(AgentEvent::RenewalAnswered { number, answer });
         });
     }
 
-    fn ask_life(&self, look: Renewal, life: TargetName) {
+    fn check_incarnation(&self, query: Renewal, target_name: TargetName) {
         let Some(me) = self.me.upgrade() else {
             return;
         };
-        let number = look.number;
-        let answer = self.target.renew(look, Some(life));
+        let number = query.number;
+        let answer = self.target.renew(query, Some(target_name));
         ntex::rt::spawn(async move {
             let answer = answer.await.into();
             me.tell(AgentEvent::IncarnationChecked { number, answer });
         });
     }
 
-    fn ask_entries(&self) {
+    fn list_entries(&self) {
         let Some(me) = self.me.upgrade() else {
             return;
         };
         ntex::rt::spawn(async move {
             match me.registry.list().await {
                 Ok(addresses) => me.tell(AgentEvent::Entries(addresses)),
-                Err(e) => store_failed(&e),
+                Err(e) => log_store_failure(&e),
             }
         });
     }
 
-    fn ask_evacuations(&self) {
+    fn read_evacuations(&self) {
         let Some(me) = self.me.upgrade() else {
             return;
         };
@@ -190,7 +189,7 @@
                     Some(Arc::new(EvacuationReader::default().read(news.evacuations)))
                 }
                 Err(e) => {
-                    store_failed(&e);
+                    log_store_failure(&e);
                     None
                 }
             };
@@ -198,7 +197,7 @@
         });
     }
 
-    /// The metrics page.
+    /// Renders the metrics page.
     pub fn metrics(&self) -> String {
         let levels = self.core.borrow().levels();
         self.figures.level("runs", levels.runs);
@@ -209,13 +208,13 @@
         self.figures.render()
     }
 
-    /// Waits until the core wants the process to stop.
+    /// Waits until the core requests the exit of the process.
     pub async fn ended(&self) {
         self.ended.notified().await;
     }
 }
 
-fn store_failed(cause: &PortError) {
+fn log_store_failure(cause: &PortError) {
     LogEvent::new(EventCode::StoreDown, format!("cause=\"{cause}\"")).emit();
 }
 
@@ -231,7 +230,7 @@
     fn packet(&self, link: SessionId, packet: Packet) {
         match packet {
             Packet::FromEntry(packet) => self.tell(AgentEvent::Packet(link, packet)),
-            // Only entries are dialled, and they send nothing else to an agent.
+            // Agents dial only entries, which send only this kind of packet to an agent.
             Packet::FromAgent(_) | Packet::BetweenEntries(_) => self.links.close(link),
         }
     }
--- a/lib/src/core_timer.rs
+++ b/lib/src/core_timer.rs
@@ -1,4 +1,4 @@
-//! One timer for a core: it sleeps until the time that the core asked for last.
+//! Wake-up timer of a core, which sleeps until the wake time that was set last.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,27 +9,27 @@
 use crate::clock::BootInstant;
 use crate::ids::Now;
 
-/// Longest sleep at a time. Timers of the system stand still in a suspended VM: what has come due
-/// meanwhile is noticed this much later at the most.
-const LONGEST_SLEEP: Duration = Duration::from_millis(100);
+/// Longest single sleep. The system's timers stop while a VM is suspended; this bounds the delay of
+/// wakes that came due meanwhile.
+const MAX_SLEEP: Duration = Duration::from_millis(100);
 
-/// See the module.
+/// Calls a wake function at the time that was set last.
 pub struct CoreTimer {
     origin: BootInstant,
-    at: Cell<Option<Now>>,
-    /// Until when the sleeper sleeps; none if for good, zero if it is awake.
+    wake_at: Cell<Option<Now>>,
+    /// End of the current sleep; none if it has no end, zero while awake.
     sleeps_until: Cell<Option<Now>>,
-    moved: Notify,
+    rescheduled: Notify,
 }
 
 impl CoreTimer {
-    /// A timer that counts from `origin`.
+    /// Creates a timer that counts from `origin`.
     pub fn new(origin: BootInstant) -> Rc<Self> {
         Rc::new(Self {
             origin,
-            at: Cell::new(None),
+            wake_at: Cell::new(None),
             sleeps_until: Cell::new(Some(Now::ZERO)),
-            moved: Notify::new(),
+            rescheduled: Notify::new(),
         })
     }
 
@@ -38,39 +38,39 @@
         self.origin.elapsed()
     }
 
-    /// Sets the time of the next wake. The sleeper is disturbed only if it would come too late; if
-    /// it comes too early it sleeps again.
+    /// Sets the time of the next wake. The current sleep is interrupted only if it would end too
+    /// late; after an early end the timer sleeps again.
     pub fn set(&self, at: Option<Now>) {
-        self.at.set(at);
+        self.wake_at.set(at);
         let Some(at) = at else {
             return;
         };
         if self.sleeps_until.get().is_none_or(|until| at < until) {
-            self.moved.notify_one();
+            self.rescheduled.notify_one();
         }
     }
 
-    /// Calls `wake` whenever the time set has come. Never returns.
+    /// Calls `wake` whenever the set time has come. Never returns.
     pub async fn run(self: Rc<Self>, wake: impl Fn()) {
         loop {
             let now = self.now();
-            match self.at.get() {
+            match self.wake_at.get() {
                 Some(at) if at <= now => {
-                    self.at.set(None);
+                    self.wake_at.set(None);
                     wake();
                 }
                 Some(at) => {
-                    let until = at.min(now + LONGEST_SLEEP);
+                    let until = at.min(now + MAX_SLEEP);
                     self.sleeps_until.set(Some(until));
                     tokio::select! {
                         () = tokio::time::sleep(until - now) => {}
-                        () = self.moved.notified() => {}
+                        () = self.rescheduled.notified() => {}
                     }
                     self.sleeps_until.set(Some(Now::ZERO));
                 }
                 None => {
                     self.sleeps_until.set(None);
-                    self.moved.notified().await;
+                    self.rescheduled.notified().await;
                     self.sleeps_until.set(Some(Now::ZERO));
                 }
             }
--- a/lib/src/platform_ports.rs
+++ b/lib/src/platform_ports.rs
@@ -1,5 +1,4 @@
-//! What the programs need of the platform, as traits. The adapter in `platform/` and the
-//! stand-ins of the tests implement them.
+//! Traits for the platform's services. The adapter in `platform/` and the tests implement them.
 
 use std::net::SocketAddr;
 
@@ -14,11 +13,11 @@
 use crate::target_incarnation::TargetName;
 use crate::target_lease::Renewal;
 
-/// Why the platform gave nothing usable.
+/// Error of a call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum PortError {
-    /// No answer, or one that says that nothing was done.
+    /// No answer, or an answer that the call was not carried out.
     #[snafu(display("{what}: {cause}"))]
     NoAnswer {
         /// The call.
@@ -26,66 +25,66 @@
         /// What happened.
         cause: String,
     },
-    /// An answer that can't be read.
+    /// An answer that can't be parsed.
     #[snafu(display("{what}: unreadable: {cause}"))]
     Unreadable {
         /// The call.
         what: &'static str,
-        /// Where and why.
+        /// Position and reason.
         cause: String,
     },
 }
 
-/// What calls to the platform come to.
+/// Result of a call to the platform.
 pub type PortResult<T> = Result<T, PortError>;
 
-/// The target beside an agent. Calls are answered within the limit that they name.
+/// Calls to the target beside an agent. Each completes within the limit that it names.
 pub trait TargetPort {
-    /// Orders a start.
+    /// Starts a run.
     fn start(&self, call: StartCall) -> LocalBoxFuture<'static, StartAnswer>;
 
-    /// Orders a stop. Whether it came to pass, the target's lists tell.
+    /// Requests a stop. The target's lists tell whether the run has ended.
     fn stop(
         &self,
         key: RunKey,
         token: FencingToken,
-        life: Option<TargetName>,
+        target_name: Option<TargetName>,
     ) -> LocalBoxFuture<'static, ()>;
 
-    /// Renews the lease of all that runs and reads the lists.
+    /// Renews the lease of all runs and reads the lists.
     fn renew(
         &self,
         renewal: Renewal,
-        life: Option<TargetName>,
+        target_name: Option<TargetName>,
     ) -> LocalBoxFuture<'static, RenewalAnswer>;
 }
 
-/// What a read of the operators' records shows.
+/// Contents of a read of the operators' records.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorNews {
-    /// The newest configuration among what was read.
+    /// The newest configuration among the records.
     pub config: Option<QueueTable>,
-    /// What it says of evacuations.
+    /// The evacuation records.
     pub evacuations: EvacuationRecords,
-    /// Records that can't be read. They are passed over: one of them must not hide the others.
+    /// Errors of records that can't be parsed. Such records are skipped, so they don't hide others.
     pub unreadable: Vec<PortError>,
 }
 
-/// The operators' records, as the platform's store holds them.
+/// Access to the operators' records in the platform's store.
 pub trait OperatorFeed {
-    /// Waits for the next records; the first call gives what is in force. Without any for a while
-    /// the answer says just up to which place nothing is new.
+    /// Waits for the next records; the first call returns those in force. If none arrive for a
+    /// while, the answer holds only the store position up to which there is nothing new.
     fn next(&self) -> LocalBoxFuture<'_, PortResult<OperatorNews>>;
 
-    /// What is in force now. Does not change what [`Self::next`] gives.
+    /// Reads the records in force now. Does not affect what [`Self::next`] returns.
     fn newest(&self) -> LocalBoxFuture<'_, PortResult<OperatorNews>>;
 }
 
-/// Where entries leave their addresses for those whose seeds are all stale.
+/// Registry of the entries' addresses, for processes whose seed addresses are all stale.
 pub trait EntryRegistry {
-    /// Leaves an entry's address under its name.
+    /// Stores an entry's address under its name.
     fn announce(&self, name: &str, address: SocketAddr) -> LocalBoxFuture<'_, PortResult<()>>;
 
-    /// All addresses left.
+    /// Returns all stored addresses.
     fn list(&self) -> LocalBoxFuture<'_, PortResult<Vec<SocketAddr>>>;
 }
--- a/lib/src/run.rs
+++ b/lib/src/run.rs
@@ -1,4 +1,4 @@
-//! Names of tasks and of their runs on targets, and how a run ends.
+//! Keys of tasks and of their runs on targets, and the outcomes of runs.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,16 +8,16 @@
 
 /// A batch's id, chosen by its caller: 16 hexadecimal digits.
 pub type BatchId = u64;
-/// Number of a start of a task. A target takes only numbers above those that it has seen.
+/// Number of a run of a task. A target accepts only numbers above those that it has seen.
 pub type RunNumber = u32;
 
-/// One task of a batch.
+/// Identifies a task of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "(u64, u32, u16, u16)", from = "(u64, u32, u16, u16)")]
 pub struct TaskKey {
     /// The batch.
     pub batch: BatchId,
-    /// Which repetition of the batch, from 0.
+    /// Repetition of the batch, from 0.
     pub time: u32,
     /// Position of the step in the batch.
     pub step: u16,
@@ -54,9 +54,9 @@
     }
 }
 
-/// A text that names no task.
+/// Error for a text that is not a task key.
 #[derive(Debug, Snafu, PartialEq, Eq)]
-#[snafu(display("`{text}` names no task: expected batch.time.step.index"))]
+#[snafu(display("`{text}` is not a task key: expected batch.time.step.index"))]
 pub struct ParseTaskKeyError {
     text: String,
 }
@@ -79,7 +79,7 @@
     }
 }
 
-/// Reads a batch's id; none if the text is not 16 lower-case hexadecimal digits.
+/// Parses a batch's id; none if the text is not 16 lower-case hexadecimal digits.
 pub fn parse_batch_id(text: &str) -> Option<BatchId> {
     let is_hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
     if text.len() != 16 || !text.bytes().all(is_hex) {
@@ -88,7 +88,7 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// One run of a task.
+/// Identifies a run of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "(TaskKey, RunNumber)", from = "(TaskKey, RunNumber)")]
 pub struct RunKey {
@@ -116,49 +116,49 @@
     }
 }
 
-/// How a run that was started is over. Each is proof that nothing of it runs any more.
+/// How a started run ended. Each variant is proof that nothing of it runs any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RunEnd {
     /// The target reported success.
     Done,
-    /// The target reported failure, by the task's or its own fault.
+    /// The target reported failure, caused by the task or by the target.
     Failed,
-    /// We stopped it.
+    /// The agent stopped it.
     Stopped,
-    /// Its lease ran out, or another member of its gang ended.
+    /// Its lease lapsed, or another member of its gang ended.
     Lapsed,
-    /// The target's life is over, or its leases must have run out, without word of the run.
+    /// The target's incarnation is over, or its lease must have lapsed, and no end was listed.
     Lost,
     /// The target crashed while it had the run.
     Crashed {
-        /// Whether it had no other run, so that the crash points at this one's task.
+        /// Whether the target had no other run, which makes this task the suspect.
         alone: bool,
     },
 }
 
-/// Why an order to start led to no run. Each is proof that it never will.
+/// Why a start led to no run. Each variant is proof that it never will.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NotStarted {
-    /// The resources are taken.
+    /// The target lacks free capacity.
     Full,
     /// The target or its agent is leaving.
     Leaving,
     /// The target's data hall is evacuated.
     Evacuated,
-    /// The order came too late to be obeyed.
+    /// The order was too late: its start deadline or the lease has passed.
     Late,
-    /// The target has seen a higher number for this task.
+    /// Another run of the task is known, or the target has seen a higher run number.
     Superseded,
-    /// The target said that it is unwell.
+    /// The target reported that it is unhealthy.
     Unhealthy,
-    /// The order was not answered, and has been fenced off since.
+    /// The start was not answered and has been fenced off.
     Unanswered,
-    /// The target has just left a call unanswered, or does not stop what it must.
+    /// The target has left its last call unanswered, or the lease may not be renewed.
     Doubtful,
-    /// The target does not answer, or its agent has not learnt its state yet.
+    /// The target does not answer, or its agent has not read its lists yet.
     Unreachable,
     /// The target serves another service.
     WrongService,
-    /// The order came without a payload, and the agent does not have it any more.
+    /// The order had no payload, and the agent no longer has it cached.
     NoPayload,
 }
--- a/lib/src/run_agent.rs
+++ b/lib/src/run_agent.rs
@@ -1,9 +1,9 @@
 //! The agent's core on the platform: a deterministic state machine, `(now, event) -> actions`.
 //!
-//! The target's own lists are the authority on what runs; the agent can be replaced at any
-//! moment, and its next life adopts what it finds. It keeps the whole vector of resources, for
-//! the target guards nothing, and stops what belongs to an entry that does not answer for it any
-//! more. docs/design/platform.md works out the chain of times.
+//! The target's lists are the authority on what runs. A restarted agent adopts the runs that they
+//! show. The agent enforces the target's whole resource vector, because the target checks none of
+//! it, and stops the runs of entries whose leases have lapsed. docs/design/platform.md derives the
+//! timing bounds.
 
 mod evacuation;
 mod incarnations;
@@ -33,62 +33,62 @@
 use crate::target_health::TargetHealth;
 use crate::target_incarnations::TargetIncarnations;
 use crate::target_lease::TargetLease;
-use starts::{LEAST_START_LIMIT, START_LIMIT};
+use starts::{MAX_START_TIMEOUT, MIN_START_TIMEOUT};
 
-/// A process that was not heard from for so long may have stood still, with answers unread in its
+/// Gap between two events after which the process may have been stalled, with unread answers in its
 /// sockets.
-const STOOD_STILL: Duration = Duration::from_millis(10);
-/// Time to read them, before a start counts as unanswered.
-const CATCH_UP: Duration = Duration::from_millis(4);
+const STALL_THRESHOLD: Duration = Duration::from_millis(10);
+/// Time after a stall to read those answers before a call counts as unanswered.
+const STALL_GRACE: Duration = Duration::from_millis(4);
 
-/// State of an agent.
+/// State machine of an agent: its runs, its links to entries and its lease on the target.
 pub struct RunAgentCore {
     options: AgentOptions,
     now: Now,
-    out: Vec<AgentAction>,
+    actions: Vec<AgentAction>,
     entries: EntryLeases,
-    lives: TargetIncarnations,
+    incarnations: TargetIncarnations,
     lease: TargetLease,
     runs: RunTable,
     health: TargetHealth,
-    /// How long the target's answers to starts take.
-    start_time: AdaptiveTimeout,
-    /// When this process was last found to have stood still, or to have been idle.
-    resumed: Now,
-    /// Whether the target's lists have been read, in this life of the agent and of the target, and
-    /// no connection has been refused since.
-    knows_lists: bool,
-    /// Claims that came before the lists were read.
+    /// Timeout of starts, learnt from how long the target takes to answer them.
+    start_timeout: AdaptiveTimeout,
+    /// End of the last gap between events that was long enough for a stall.
+    resumed_at: Now,
+    /// Whether the lists of the target's current incarnation have been read and no connection for a
+    /// start has been refused since.
+    has_read_lists: bool,
+    /// Claims received before the lists were read.
     early_claims: Vec<(Incarnation, RunKey, Resources)>,
-    /// Stops that came before the lists were read, each with its entry's life.
+    /// Stops received before the lists were read, each with the incarnation of its entry.
     early_stops: Vec<(Incarnation, RunKey)>,
     preferred: PreferredEntries,
-    search: EntryDiscovery,
+    discovery: EntryDiscovery,
     unpacker: PayloadUnpacker,
     payloads: PayloadCache,
     evacuations: EvacuationsInForce,
     evacuation_watch: EvacuationWatch,
-    /// When the store was asked for evacuations that it has not answered yet.
-    evacuations_asked: Option<Now>,
+    /// When the unanswered read of evacuations was sent to the store.
+    evacuations_asked_at: Option<Now>,
     draining_since: Option<Now>,
     exited: bool,
 }
 
 impl RunAgentCore {
-    /// A new life of an agent, at time `now` of its own clock.
+    /// Creates an agent at time `now` of its own clock.
     pub fn new(now: Now, options: AgentOptions) -> Self {
         let lease = TargetLease::new(now, &options.timings, options.token);
         Self {
             now,
-            out: Vec::new(),
+            actions: Vec::new(),
             entries: EntryLeases::new(options.timings),
-            lives: TargetIncarnations::default(),
+            incarnations: TargetIncarnations::default(),
             lease,
             runs: RunTable::default(),
             health: TargetHealth::default(),
-            start_time: AdaptiveTimeout::new(LEAST_START_LIMIT, START_LIMIT),
-            resumed: now,
-            knows_lists: false,
+            start_timeout: AdaptiveTimeout::new(MIN_START_TIMEOUT, MAX_START_TIMEOUT),
+            resumed_at: now,
+            has_read_lists: false,
             early_claims: Vec::new(),
             early_stops: Vec::new(),
             preferred: PreferredEntries::new(
@@ -96,52 +96,52 @@
                 PREFERRED_COUNT,
                 options.timings.start_window,
             ),
-            search: EntryDiscovery::new(now),
+            discovery: EntryDiscovery::new(now),
             unpacker: PayloadUnpacker::default(),
             payloads: PayloadCache::default(),
             evacuations: EvacuationsInForce::default(),
             evacuation_watch: EvacuationWatch::new(now, options.evacuation_bound),
-            evacuations_asked: None,
+            evacuations_asked_at: None,
             draining_since: None,
             exited: false,
             options,
         }
     }
 
-    /// Takes in an event and returns what is to be done, in order.
+    /// Handles an event and returns the actions to execute, in order.
     pub fn handle(&mut self, now: Now, event: AgentEvent) -> Vec<AgentAction> {
-        if self.now + STOOD_STILL <= now {
-            self.resumed = now;
+        if self.now + STALL_THRESHOLD <= now {
+            self.resumed_at = now;
         }
         self.now = self.now.max(now);
         if self.exited {
             return Vec::new();
         }
         self.dispatch_event(event);
-        self.search_entries();
-        self.keep_homes();
+        self.discover_entries();
+        self.update_links();
         self.ask_evacuations();
-        self.ask_lives();
+        self.check_incarnations();
         self.fence_overdue_starts();
         self.check_leases();
         self.send_due_stops();
         self.renew();
         self.check_drain();
         self.flush();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    /// When [`AgentEvent::Wake`] is due.
+    /// Returns when [`AgentEvent::Wake`] is due.
     pub fn next_wake(&self) -> Option<Now> {
         let mut times = vec![
             self.entries.next_wake(),
             self.lease.retry_at(),
-            self.lives.next_wake(),
+            self.incarnations.next_wake(),
             self.ask_evacuations_at(),
-            self.search
+            self.discovery
                 .next_wake()
                 .filter(|_| self.draining_since.is_none()),
-            // A process that stops changes no links any more.
+            // A draining agent changes no links.
             self.preferred
                 .next_wake()
                 .filter(|_| self.draining_since.is_none()),
@@ -149,7 +149,7 @@
         for (_, run) in self.runs.iter() {
             times.push(Some(self.run_wake(run)));
         }
-        if !self.runs.is_empty() || !self.knows_lists {
+        if !self.runs.is_empty() || !self.has_read_lists {
             times.push(Some(self.lease.lapses_at()));
             times.push(self.renewal_overdue().map(|(at, _)| at));
         }
@@ -157,11 +157,11 @@
             self.draining_since
                 .map(|since| since + self.options.timings.agent_stop),
         );
-        let soonest = times.into_iter().flatten().min()?;
-        Some(soonest.max(self.now + Duration::from_millis(1)))
+        let earliest = times.into_iter().flatten().min()?;
+        Some(earliest.max(self.now + Duration::from_millis(1)))
     }
 
-    /// Figures for the metrics page.
+    /// Returns the gauges for the metrics page.
     pub fn levels(&self) -> AgentLevels {
         AgentLevels {
             runs: self.runs.len() as u64,
@@ -170,20 +170,20 @@
     }
 
     fn run_wake(&self, run: &Run) -> Now {
-        let settled = match (&run.stopping, run.owner) {
+        let next_check = match (&run.stopping, run.owner) {
             (Some(stopping), _) => stopping.resend_at,
             (None, Some(owner)) => self.entries.until(owner),
             (None, None) => run.since + self.options.timings.claim_grace,
         };
-        let answer_by = self.answer_by(run);
-        answer_by.map_or(settled, |by| by.min(settled))
+        let answer_deadline = self.answer_deadline(run);
+        answer_deadline.map_or(next_check, |by| by.min(next_check))
     }
 
     fn dispatch_event(&mut self, event: AgentEvent) {
         match event {
             AgentEvent::Wake => {
                 for link in self.entries.silent(self.now) {
-                    self.out.push(AgentAction::Close(link));
+                    self.actions.push(AgentAction::Close(link));
                     self.link_down(link);
                 }
                 let seeds = self.options.seeds.iter().copied();
@@ -191,14 +191,16 @@
             }
             AgentEvent::LinkUp(link, address) => self.link_up(link, address),
             AgentEvent::LinkDown(link) => self.link_down(link),
-            AgentEvent::Packet(link, packet) => self.packet(link, packet),
-            AgentEvent::Report(report) => self.report(report),
+            AgentEvent::Packet(link, packet) => self.packet_received(link, packet),
+            AgentEvent::Report(report) => self.target_reported(report),
             AgentEvent::TargetLeft(name, born) => self.target_left(&name, born),
             AgentEvent::StartAnswered { key, token, answer } => {
                 self.start_answered(key, token, answer);
             }
             AgentEvent::RenewalAnswered { number, answer } => self.renewal_answered(number, answer),
-            AgentEvent::IncarnationChecked { number, answer } => self.life_answered(number, answer),
+            AgentEvent::IncarnationChecked { number, answer } => {
+                self.incarnation_checked(number, answer)
+            }
             AgentEvent::Entries(entries) => self.preferred.learn(self.now, entries),
             AgentEvent::Evacuations(answer) => self.evacuations_answered(answer),
             AgentEvent::Resumed(suspended) => self.resumed(suspended),
@@ -206,13 +208,13 @@
         }
     }
 
-    /// The target's clock, which measures its lease, has stood still for so long. What is proven by
-    /// the end of that lease takes as much longer.
+    /// Extends the lease's lapse by the suspension: the target's clock, which measures the lease,
+    /// was stopped for that long.
     fn resumed(&mut self, suspended: Duration) {
         self.lease.suspended(suspended);
-        if self.knows_lists {
-            let look = self.lease.at_once(self.now, false);
-            self.push_renewal(look);
+        if self.has_read_lists {
+            let query = self.lease.at_once(self.now, false);
+            self.push_renewal(query);
         }
         let suspended_ms = suspended.as_millis();
         let running = self.runs.len();
@@ -223,7 +225,8 @@
     }
 
     fn log(&mut self, code: EventCode, detail: String) {
-        self.out.push(AgentAction::Log(LogEvent::new(code, detail)));
+        self.actions
+            .push(AgentAction::Log(LogEvent::new(code, detail)));
     }
 
     // Entries.
@@ -236,7 +239,7 @@
             life: self.options.incarnation,
             hall: self.options.hall.clone(),
         };
-        let target = AgentNews::Target(self.offered_target());
+        let target = AgentNews::Target(self.announced_target());
         if let Some(found) = self.entries.get_mut(link) {
             found.news.push(AgentNews::Hello(intro));
             found.news.push(target);
@@ -261,16 +264,16 @@
         }
     }
 
-    fn search_entries(&mut self) {
+    fn discover_entries(&mut self) {
         let is_linked = !self.entries.is_empty();
-        if self.draining_since.is_none() && self.search.take_due(self.now, is_linked) {
-            self.out.push(AgentAction::AskEntries);
+        if self.draining_since.is_none() && self.discovery.take_due(self.now, is_linked) {
+            self.actions.push(AgentAction::AskEntries);
         }
     }
 
-    /// Dials, parts and hangs up as the choice of entries wants it. A process that stops changes
-    /// nothing any more.
-    fn keep_homes(&mut self) {
+    /// Dials, drains and disconnects links to match the preferred entries. A draining agent changes
+    /// no links.
+    fn update_links(&mut self) {
         if self.draining_since.is_some() {
             return;
         }
@@ -281,25 +284,25 @@
         };
         for step in self.preferred.steps(self.now, is_needed) {
             match step {
-                LinkStep::Dial(address) => self.out.push(AgentAction::Dial(address)),
-                LinkStep::Drain(link) => self.part(link),
+                LinkStep::Dial(address) => self.actions.push(AgentAction::Dial(address)),
+                LinkStep::Drain(link) => self.drain_link(link),
                 LinkStep::Disconnect(address, link) => self.disconnect(address, link),
             }
         }
     }
 
-    fn part(&mut self, link: SessionId) {
+    fn drain_link(&mut self, link: SessionId) {
         if let Some(found) = self.entries.get_mut(link) {
             found.news.push(AgentNews::Leaving);
         }
     }
 
     fn disconnect(&mut self, address: SocketAddr, link: Option<SessionId>) {
-        self.out.push(AgentAction::Disconnect(address));
+        self.actions.push(AgentAction::Disconnect(address));
         let Some(link) = link else {
             return;
         };
-        self.out.push(AgentAction::Close(link));
+        self.actions.push(AgentAction::Close(link));
         let gone = self.entries.closed(self.now, link);
         let name = gone.and_then(|l| l.name);
         let left = self.entries.len();
@@ -309,13 +312,13 @@
         );
     }
 
-    fn packet(&mut self, link: SessionId, packet: EntryPacket) {
+    fn packet_received(&mut self, link: SessionId, packet: EntryPacket) {
         let welcome = packet.orders.iter().find_map(|o| match o {
             Order::Welcome(welcome) => Some((welcome.life, welcome.name.clone())),
             _ => None,
         });
-        if let (Some((life, name)), Some(found)) = (welcome, self.entries.get_mut(link)) {
-            found.entry = Some(life);
+        if let (Some((entry, name)), Some(found)) = (welcome, self.entries.get_mut(link)) {
+            found.entry = Some(entry);
             found.name = Some(name);
         }
         let lease_until = Duration::from_millis(packet.lease_until);
@@ -337,7 +340,7 @@
     fn welcomed(&mut self, welcome: Welcome) {
         let Welcome {
             name,
-            life,
+            life: entry,
             entries,
             claims,
             evacuations,
@@ -345,41 +348,41 @@
         let count = claims.len();
         self.log(
             EventCode::EntryJoined,
-            format!("entry={name} life={life:x} claims={count}"),
+            format!("entry={name} life={entry:x} claims={count}"),
         );
         self.preferred.learn(self.now, entries);
         self.offer_evacuations(&evacuations, "entry");
-        self.stop_unclaimed(life, &claims);
+        self.stop_unclaimed(entry, &claims);
         for (key, size) in claims {
-            if self.knows_lists {
-                self.claim(life, key, size);
+            if self.has_read_lists {
+                self.answer_claim(entry, key, size);
             } else {
-                self.early_claims.push((life, key, size));
+                self.early_claims.push((entry, key, size));
             }
         }
     }
 
-    /// Runs that their own entry does not name are not wanted any more.
-    fn stop_unclaimed(&mut self, life: Incarnation, claims: &[(RunKey, Resources)]) {
+    /// Stops the runs of an entry that its list of claims does not name.
+    fn stop_unclaimed(&mut self, entry: Incarnation, claims: &[(RunKey, Resources)]) {
         let unclaimed: Vec<RunKey> = self
             .runs
             .iter()
-            .filter(|(key, run)| run.owner == Some(life) && claims.iter().all(|(k, _)| k != key))
+            .filter(|(key, run)| run.owner == Some(entry) && claims.iter().all(|(k, _)| k != key))
             .map(|(key, _)| key)
             .collect();
         for key in unclaimed {
-            self.ask_stop(key, None);
+            self.request_stop(key, None);
         }
     }
 
-    /// Answers an entry's claim: the run is its own from now on, or it is over.
-    fn claim(&mut self, life: Incarnation, key: RunKey, size: Resources) {
-        if self.runs.claim(key, life, size) {
+    /// Makes the entry the owner of a run, or tells it that the run is over.
+    fn answer_claim(&mut self, entry: Incarnation, key: RunKey, size: Resources) {
+        if self.runs.claim(key, entry, size) {
             return;
         }
         let end = self.runs.end_of(key).unwrap_or(RunEnd::Lost);
         self.entries.tell(
-            life,
+            entry,
             AgentNews::Ended {
                 key,
                 end,
@@ -393,20 +396,20 @@
             return;
         };
         for key in keys {
-            if self.knows_lists || self.runs.get(key).is_some() {
-                self.stop_or_tell(entry, key);
+            if self.has_read_lists || self.runs.get(key).is_some() {
+                self.stop_or_report_end(entry, key);
             } else {
-                // A run of an earlier life of this agent may go on: that it is not known here is no
-                // proof of its end, and its task would run twice.
+                // The run may have been started by an earlier incarnation of this agent and still
+                // be running. Reporting it as over could make its task run twice.
                 self.early_stops.push((entry, key));
             }
         }
     }
 
-    /// Stops a run, or tells its entry that it is over.
-    fn stop_or_tell(&mut self, entry: Incarnation, key: RunKey) {
+    /// Stops a run, or tells the entry that it is over.
+    fn stop_or_report_end(&mut self, entry: Incarnation, key: RunKey) {
         if self.runs.get(key).is_some() {
-            self.ask_stop(key, None);
+            self.request_stop(key, None);
             return;
         }
         let end = self.runs.end_of(key).unwrap_or(RunEnd::Lost);
@@ -415,8 +418,9 @@
         self.entries.tell(entry, news);
     }
 
-    /// Stops a run. If nobody has answered for it since a time, the stop must succeed within bounds.
-    fn ask_stop(&mut self, key: RunKey, orphaned_since: Option<Now>) {
+    /// Requests that a run be stopped. The stop of a run that was orphaned at `orphaned_since` must
+    /// succeed within the stop bound.
+    fn request_stop(&mut self, key: RunKey, orphaned_since: Option<Now>) {
         let resend_at = self.now;
         let Some(run) = self.runs.get_mut(key) else {
             return;
@@ -430,7 +434,7 @@
 
     // Runs.
 
-    /// Ends all runs without a listed end.
+    /// Ends all runs, each with the outcome for a run whose end was not listed.
     fn end_all(&mut self) {
         for key in self.runs.keys() {
             let end = self.runs.get(key).map(|run| run.end_if_unlisted);
@@ -446,7 +450,7 @@
         let ran = run
             .running_since
             .map(|since| self.now.saturating_sub(since));
-        self.learn_health(end, ran.unwrap_or_default(), run.estimate);
+        self.update_health(end, ran.unwrap_or_default(), run.estimate);
         let ran_ms = ran.unwrap_or_default().as_millis() as u32;
         let running = self.runs.len();
         self.log(
@@ -459,7 +463,7 @@
         }
     }
 
-    fn learn_health(&mut self, end: RunEnd, ran: Duration, estimate: Duration) {
+    fn update_health(&mut self, end: RunEnd, ran: Duration, estimate: Duration) {
         match end {
             RunEnd::Done if !ran.is_zero() && !estimate.is_zero() => {
                 self.health.run_done(ran.div_duration_f64(estimate));
@@ -475,22 +479,22 @@
 
     // Time.
 
-    /// Stops what nobody answers for, and gives up what must have lapsed.
+    /// Stops orphaned runs. Ends all runs once the target's lease must have lapsed.
     fn check_leases(&mut self) {
         let now = self.now;
         let mut orphans = Vec::new();
         for (key, run) in self.runs.iter() {
-            let held_until = match run.owner {
+            let owned_until = match run.owner {
                 Some(owner) => self.entries.until(owner),
                 None => run.since + self.options.timings.claim_grace,
             };
-            if held_until <= now && run.stopping.is_none_or(|s| s.orphaned_since.is_none()) {
-                orphans.push((key, held_until));
+            if owned_until <= now && run.stopping.is_none_or(|s| s.orphaned_since.is_none()) {
+                orphans.push((key, owned_until));
             }
         }
-        for (key, held_until) in orphans {
+        for (key, owned_until) in orphans {
             self.log(EventCode::RunOrphaned, format!("run={key}"));
-            self.ask_stop(key, Some(held_until));
+            self.request_stop(key, Some(owned_until));
         }
         self.entries
             .forget_before(now.saturating_sub(Duration::from_secs(60)));
@@ -509,7 +513,7 @@
     fn send_due_stops(&mut self) {
         let now = self.now;
         let token = self.lease.token();
-        let life = self.lives.current_name();
+        let target_name = self.incarnations.current_name();
         for (key, run) in self.runs.iter_mut() {
             let Some(stopping) = &mut run.stopping else {
                 continue;
@@ -518,11 +522,11 @@
                 continue;
             }
             stopping.resend_at = now + self.options.timings.stop_again;
-            let life = life.clone();
-            self.out.push(AgentAction::Stop {
+            let target_name = target_name.clone();
+            self.actions.push(AgentAction::Stop {
                 key,
                 token,
-                target_name: life,
+                target_name,
             });
         }
     }
@@ -537,14 +541,14 @@
         self.entries.tell_all(&AgentNews::Leaving);
     }
 
-    /// Ends the process once nothing runs. What still runs at the limit is left to the next life,
-    /// with a lease as long as can be had.
+    /// Exits once nothing runs or the drain limit is reached. Runs that remain are adopted by the
+    /// next incarnation of the agent.
     fn check_drain(&mut self) {
         let Some(since) = self.draining_since else {
             return;
         };
-        let is_over = self.now >= since + self.options.timings.agent_stop;
-        if !self.runs.is_empty() && !is_over {
+        let is_limit_reached = self.now >= since + self.options.timings.agent_stop;
+        if !self.runs.is_empty() && !is_limit_reached {
             return;
         }
         let running = self.runs.len();
@@ -555,20 +559,20 @@
         };
         self.log(code, format!("running={running}"));
         self.flush();
-        self.out.push(AgentAction::Exit);
+        self.actions.push(AgentAction::Exit);
         self.exited = true;
     }
 
     // Packets.
 
     fn free(&self) -> Resources {
-        let Some(target) = self.lives.current() else {
+        let Some(target) = self.incarnations.current() else {
             return Resources::NONE;
         };
         let is_closed = self.draining_since.is_some()
-            || self.lives.may_be_leaving()
+            || self.incarnations.may_be_leaving()
             || self.is_evacuated()
-            || !self.knows_lists
+            || !self.has_read_lists
             || self.lease.is_silent();
         if is_closed {
             return Resources::NONE;
@@ -578,11 +582,11 @@
 
     fn flush(&mut self) {
         let clock = self.now.as_millis() as AgentMillis;
-        let room = FreeCapacity {
+        let free_capacity = FreeCapacity {
             free: self.free(),
-            place: self.runs.usual_size(),
+            place: self.runs.typical_size(),
         };
-        self.entries.share_room(self.now, room);
+        self.entries.share_room(self.now, free_capacity);
         for due in self.entries.take_due(self.now) {
             let packet = AgentPacket {
                 clock,
@@ -591,7 +595,7 @@
                 health: self.health.word(),
                 news: due.news,
             };
-            self.out.push(AgentAction::Send(due.link, packet));
+            self.actions.push(AgentAction::Send(due.link, packet));
         }
     }
 }
--- a/lib/src/run_agent/evacuation.rs
+++ b/lib/src/run_agent/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuations: the agent is the last guard, for it knows its own data hall.
+//! Evacuations: the agent starts nothing while its own data hall is evacuated.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::run_event::AgentAction;
 
 impl RunAgentCore {
-    /// Whether the target may get no new work, for its hall is evacuated.
+    /// Whether the target's hall is evacuated. The target may then get no new work.
     pub(super) fn is_evacuated(&self) -> bool {
         self.evacuations.contains(&self.options.hall)
     }
@@ -26,7 +26,8 @@
         );
     }
 
-    /// When the store is to be asked. Without any entry there is no work to be refused.
+    /// When to read the evacuations from the store; none while no entry is linked, as there are no
+    /// orders to refuse.
     pub(super) fn ask_evacuations_at(&self) -> Option<Now> {
         if self.entries.is_empty() {
             return None;
@@ -36,13 +37,13 @@
 
     pub(super) fn ask_evacuations(&mut self) {
         if !self.entries.is_empty() && self.evacuation_watch.take_due(self.now) {
-            self.evacuations_asked = Some(self.now);
-            self.out.push(AgentAction::AskEvacuations);
+            self.evacuations_asked_at = Some(self.now);
+            self.actions.push(AgentAction::AskEvacuations);
         }
     }
 
     pub(super) fn evacuations_answered(&mut self, answer: Option<Arc<EvacuatedHalls>>) {
-        let asked_at = self.evacuations_asked.take();
+        let asked_at = self.evacuations_asked_at.take();
         let (Some(state), Some(asked_at)) = (answer, asked_at) else {
             return;
         };
--- a/lib/src/run_agent/incarnations.rs
+++ b/lib/src/run_agent/incarnations.rs
@@ -1,4 +1,4 @@
-//! The target's lives: its reports, and what another life means for the runs of the one before.
+//! Incarnations of the target: its reports, and what happens to runs when the incarnation changes.
 
 use std::time::Duration;
 
@@ -10,179 +10,211 @@
 use crate::target_incarnation::{BornMillis, TargetIncarnation, TargetName};
 use crate::target_incarnations::ReportOutcome;
 
-/// Pause before a life that refused the token is asked with a higher one: a few calls' time. Each
-/// step is ten seconds, so a clock that was an hour ahead is passed in 2 s.
-const FENCED_PAUSE: Duration = Duration::from_millis(5);
+/// Delay before an incarnation that refused the fencing token is checked with a higher one.
+const FENCED_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 impl RunAgentCore {
-    pub(super) fn report(&mut self, report: TargetReport) {
-        let life = report.info.life.clone();
+    pub(super) fn target_reported(&mut self, report: TargetReport) {
+        let incarnation = report.info.life.clone();
         let (number, leaving) = (report.sequence, report.info.leaving);
-        match self.lives.report(self.now, report) {
+        match self.incarnations.report(self.now, report) {
             ReportOutcome::Known => {}
             ReportOutcome::Late(known) => {
-                let why = format!("why=\"number {known} was seen\"");
-                self.passed_over(&life, number, leaving, &why);
+                let why = format!("why=\"number {known} was already reported\"");
+                self.log_ignored_report(&incarnation, number, leaving, &why);
             }
             ReportOutcome::PastIncarnation => {
-                self.passed_over(&life, number, leaving, "why=\"that life is over\"");
+                self.log_ignored_report(
+                    &incarnation,
+                    number,
+                    leaving,
+                    "why=\"that incarnation is over\"",
+                );
             }
             ReportOutcome::Changed => self.target_changed(),
             ReportOutcome::OtherService => {
-                self.passed_over(&life, number, leaving, "why=\"another service\"");
+                self.log_ignored_report(&incarnation, number, leaving, "why=\"another service\"");
             }
             ReportOutcome::NeedsCheck => {
-                let known = self.lives.current_incarnation();
+                let known = self.incarnations.current_incarnation();
                 let known = known.map_or("-".to_owned(), ToString::to_string);
-                let detail = format!("life={life} known={known} leaving={leaving}");
+                let detail = format!("life={incarnation} known={known} leaving={leaving}");
                 self.log(EventCode::TargetLifeReported, detail);
             }
         }
     }
 
-    /// A report comes every second or so: a line for each is no flood.
-    fn passed_over(&mut self, life: &TargetIncarnation, number: u64, leaving: bool, why: &str) {
-        let detail = format!("life={life} number={number} leaving={leaving} {why}");
+    /// Logs a report that is ignored. Targets report about once a second, so this needs no rate
+    /// limit.
+    fn log_ignored_report(
+        &mut self,
+        incarnation: &TargetIncarnation,
+        number: u64,
+        leaving: bool,
+        why: &str,
+    ) {
+        let detail = format!("life={incarnation} number={number} leaving={leaving} {why}");
         self.log(EventCode::ReportPassedOver, detail);
     }
 
-    /// Asks the lives that have reported and are not proven to live yet.
-    pub(super) fn ask_lives(&mut self) {
-        while let Some(life) = self.lives.take_due(self.now, self.lease.next_number()) {
-            let look = self.lease.look();
-            self.out.push(AgentAction::CheckIncarnation {
-                look,
-                target_name: life,
+    /// Checks the incarnations that have reported and are not proven to be alive yet.
+    pub(super) fn check_incarnations(&mut self) {
+        while let Some(target_name) = self
+            .incarnations
+            .take_due(self.now, self.lease.next_number())
+        {
+            let query = self.lease.look();
+            self.actions.push(AgentAction::CheckIncarnation {
+                look: query,
+                target_name,
             });
         }
     }
 
-    pub(super) fn life_answered(&mut self, number: u64, answer: IncarnationAnswer) {
-        let Some(life) = &self.lives.asked_by(number) else {
+    pub(super) fn incarnation_checked(&mut self, number: u64, answer: IncarnationAnswer) {
+        let Some(incarnation) = &self.incarnations.checked_by(number) else {
             return;
         };
         match answer {
-            IncarnationAnswer::Silent => self.lives.unanswered(self.now, life),
+            IncarnationAnswer::Silent => self.incarnations.recheck_later(self.now, incarnation),
             IncarnationAnswer::Fenced => {
                 let refused = self.lease.token();
                 self.lease.raise_token_past(refused);
-                self.lives.ask_at(self.now + FENCED_PAUSE, life);
+                self.incarnations
+                    .check_at(self.now + FENCED_RETRY_DELAY, incarnation);
             }
-            IncarnationAnswer::OtherIncarnation => self.reported_life_over(life),
-            IncarnationAnswer::Alive(born) if !life.tells(born) => self.reported_life_over(life),
-            IncarnationAnswer::Alive(_) => self.life_begins(life),
+            IncarnationAnswer::OtherIncarnation => self.reported_incarnation_over(incarnation),
+            IncarnationAnswer::Alive(born) if !incarnation.matches_born(born) => {
+                self.reported_incarnation_over(incarnation)
+            }
+            IncarnationAnswer::Alive(_) => self.begin_incarnation(incarnation),
         }
     }
 
-    fn reported_life_over(&mut self, life: &TargetIncarnation) {
-        self.lives.over(life);
-        let detail = format!("life={life} runs=0 why=\"another life answers\"");
+    fn reported_incarnation_over(&mut self, incarnation: &TargetIncarnation) {
+        self.incarnations.mark_over(incarnation);
+        let detail = format!("life={incarnation} runs=0 why=\"another incarnation answers\"");
         self.log(EventCode::TargetLifeOver, detail);
     }
 
-    fn life_begins(&mut self, life: &TargetIncarnation) {
-        // Orders that bore another name can't have been obeyed by this life, and those of its own
-        // name can: what they started is told by its lists. At first nothing was ordered.
-        let is_other_name = self.lives.last_name().is_some_and(|n| *n != life.name);
-        self.life_over("a new life answers");
+    fn begin_incarnation(&mut self, incarnation: &TargetIncarnation) {
+        // This incarnation can have obeyed only orders that named it. If it has the same name as
+        // the last one, its lists show which runs they started.
+        let is_other_name = self
+            .incarnations
+            .last_name()
+            .is_some_and(|n| *n != incarnation.name);
+        self.mark_current_over("a new incarnation answers");
         if is_other_name {
             self.end_all();
         }
-        // What was read without a name may have been another life's.
+        // Lists that were read without a target name may be those of another incarnation.
         self.lease.reset_incarnation();
-        self.knows_lists = false;
-        self.lives.answered(self.now, life);
+        self.has_read_lists = false;
+        self.incarnations.make_current(self.now, incarnation);
         self.target_changed();
     }
 
-    /// Notices by its lists that the target started again under its name. Its numbers begin anew:
-    /// compared with those of the life before, a leave and every end passed for old news.
-    pub(super) fn check_born(&mut self, number: u64, born: Option<BornMillis>) {
+    /// Detects from its lists that the target has restarted under the same name. The sequence
+    /// numbers of reports and ends then start again, and comparing them with the old ones would
+    /// discard new reports and ends.
+    pub(super) fn check_for_restart(&mut self, number: u64, born: Option<BornMillis>) {
         let is_current = self
-            .lives
+            .incarnations
             .current_incarnation()
-            .is_none_or(|l| l.tells(born));
+            .is_none_or(|i| i.matches_born(born));
         if is_current && !self.lease.is_other_incarnation(born) {
             self.lease.note_incarnation(self.now, born);
             return;
         }
-        self.life_over("lists of another start");
+        self.mark_current_over("lists state another start time");
         self.lease.forget_numbers(number);
         self.lease.note_incarnation(self.now, born);
-        self.tell_target();
+        self.announce_target();
     }
 
     pub(super) fn target_changed(&mut self) {
-        let Some(info) = self.lives.current() else {
+        let Some(info) = self.incarnations.current() else {
             return;
         };
         let TargetInfo {
-            life,
+            life: incarnation,
             service,
             leaving,
             ..
         } = info;
-        let detail = format!("life={life} service={service} leaving={leaving}");
+        let detail = format!("life={incarnation} service={service} leaving={leaving}");
         let code = if *leaving {
             EventCode::TargetLeaving
         } else {
             EventCode::TargetReported
         };
         self.log(code, detail);
-        if self.knows_lists {
-            self.tell_target();
+        if self.has_read_lists {
+            self.announce_target();
         }
     }
 
-    pub(super) fn tell_target(&mut self) {
-        let news = AgentNews::Target(self.offered_target());
+    pub(super) fn announce_target(&mut self) {
+        let news = AgentNews::Target(self.announced_target());
         self.entries.tell_all(&news);
     }
 
-    /// The target as entries are told of it: once its lists are read. Told sooner, an entry would
-    /// say that it is ready, and find no room for its first batches.
-    pub(super) fn offered_target(&self) -> Option<TargetInfo> {
-        self.lives.current().filter(|_| self.knows_lists).cloned()
+    /// The target as announced to entries; none before its lists have been read. An entry that
+    /// learnt of it sooner would report itself ready while the target has no free capacity.
+    pub(super) fn announced_target(&self) -> Option<TargetInfo> {
+        self.incarnations
+            .current()
+            .filter(|_| self.has_read_lists)
+            .cloned()
     }
 
-    /// A goodbye may be that of an earlier life, held back on its way, and what runs goes on until
-    /// the process is gone. So it closes the target and ends no run: that is left to the lists, to
-    /// another life's answer or to the end of the lease.
+    /// Handles a goodbye: closes the target to new work but ends no run. The goodbye may be a
+    /// delayed one of an earlier incarnation, and runs continue until the process exits. They end
+    /// by the lists, by the answer of another incarnation or when the lease lapses.
     pub(super) fn target_left(&mut self, name: &TargetName, born: Option<BornMillis>) {
-        let Some(life) = self.lives.current_incarnation() else {
+        let Some(incarnation) = self.incarnations.current_incarnation() else {
             return;
         };
-        if life.name != *name || (born.is_some() && life.born != born) {
+        if incarnation.name != *name || (born.is_some() && incarnation.born != born) {
             return;
         }
-        let (life, runs) = (life.clone(), self.runs.len());
-        self.log(EventCode::TargetGoodbye, format!("life={life} runs={runs}"));
-        self.lives.forget_current();
-        self.tell_target();
+        let (incarnation, runs) = (incarnation.clone(), self.runs.len());
+        self.log(
+            EventCode::TargetGoodbye,
+            format!("life={incarnation} runs={runs}"),
+        );
+        self.incarnations.forget_current();
+        self.announce_target();
     }
 
-    /// Another life answers, under another name: the known one is over, and everything that ran on
-    /// it. No order for it can have been obeyed by the other.
+    /// Ends the current incarnation and all its runs after an incarnation of another name has
+    /// answered. That one can't have obeyed orders that named the old one.
     pub(super) fn end_incarnation(&mut self, why: &str) {
-        if self.life_over(why) {
+        if self.mark_current_over(why) {
             self.lease.reset_incarnation();
-            // The next life's clock is learnt with its lists.
-            self.knows_lists = false;
+            // The lists of the next incarnation tell its clock.
+            self.has_read_lists = false;
             self.end_all();
         }
     }
 
-    /// Whether the target, whose life is over, has crashed: it announced no end, and was not silent
-    /// before, as one without power or behind a cut is. Any of its runs may have brought it about.
+    /// Whether the target may have crashed, possibly because of one of its runs: it announced no
+    /// leave, and it refuses connections or was not silent before. A target that lost power or its
+    /// network is silent first.
     pub(super) fn may_have_crashed(&self) -> bool {
-        let is_announced = self.lives.current().is_none_or(|target| target.leaving);
-        !is_announced && (self.lease.is_refused() || !self.lease.is_silent())
+        let is_leaving = self
+            .incarnations
+            .current()
+            .is_none_or(|target| target.leaving);
+        !is_leaving && (self.lease.is_refused() || !self.lease.is_silent())
     }
 
-    /// The known life is over. Where the next one bears its name, an order that was meant for the
-    /// one before may have been obeyed by it: its lists tell which runs go on, and the rest are lost.
-    fn life_over(&mut self, why: &str) -> bool {
-        let Some(life) = self.lives.current_incarnation().cloned() else {
+    /// Marks the current incarnation as over, without ending its runs: a next one of the same name
+    /// may have obeyed orders for this one, and its lists tell which runs continue. Returns false
+    /// if there is no current incarnation.
+    fn mark_current_over(&mut self, why: &str) -> bool {
+        let Some(incarnation) = self.incarnations.current_incarnation().cloned() else {
             return false;
         };
         let runs = self.runs.len();
@@ -192,9 +224,9 @@
         }
         self.log(
             EventCode::TargetLifeOver,
-            format!("life={life} runs={runs} crashed={is_crash} why=\"{why}\""),
+            format!("life={incarnation} runs={runs} crashed={is_crash} why=\"{why}\""),
         );
-        self.lives.over(&life);
+        self.incarnations.mark_over(&incarnation);
         self.health = TargetHealth::default();
         true
     }
--- a/lib/src/run_agent/lists.rs
+++ b/lib/src/run_agent/lists.rs
@@ -1,9 +1,9 @@
-//! Renewals of the target's lease, and what its lists say: what runs, what ended, what is slow.
+//! Renewals of the target's lease, and the lists in their answers: running, ended and slow runs.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{CATCH_UP, RunAgentCore};
+use super::{RunAgentCore, STALL_GRACE};
 use crate::events::EventCode;
 use crate::ids::Now;
 use crate::run::{RunEnd, RunKey};
@@ -13,34 +13,33 @@
 use crate::target_health::SlowRun;
 use crate::target_lease::{EndNumber, ListedRun, Renewal, TargetMillis};
 
-/// A run is slow if its progress promises an end after this many times its estimate. Estimates
-/// are off by 40% as a rule and by twice that now and then, and the slowest sound targets take
-/// 1.25 times as long; ailing ones take four times or more.
+/// A run is slow if its projected duration exceeds this many times its estimate plus
+/// [`SLOW_SLACK`]. The factor is above the usual error of estimates on healthy targets.
 const SLOW_FACTOR: f64 = 3.0;
-/// Added to the above: the time of a call or two.
+/// Allowance for the time of the calls.
 const SLOW_SLACK: Duration = Duration::from_millis(20);
-/// Share of its estimate after which a run's progress is looked at.
-const LOOK_SHARE: f64 = 0.6;
-/// How often one run's slowness is reported.
-const SLOW_AGAIN: Duration = Duration::from_millis(300);
-/// Most ends that a target lists at once; a full list may have a next page.
-const FULL_PAGE: usize = 500;
-/// Longest wait of a renewal while an answer is awaited elsewhere.
-const CALM_WAIT: Duration = Duration::from_secs(1);
+/// Share of its estimate after which a run's progress is checked.
+const SLOW_CHECK_SHARE: f64 = 0.6;
+/// Least time between two reports that a run is slow.
+const SLOW_REPORT_INTERVAL: Duration = Duration::from_millis(300);
+/// Most ends that a target lists at once. A list of this length may have a next page.
+const MAX_LISTED_ENDS: usize = 500;
+/// Longest time that a renewal waits at the target for an end.
+const MAX_RENEWAL_WAIT: Duration = Duration::from_secs(1);
 
 impl RunAgentCore {
     pub(super) fn push_renewal(&mut self, renewal: Renewal) {
-        let life = self.lives.current_name();
-        self.out.push(AgentAction::Renew {
+        let target_name = self.incarnations.current_name();
+        self.actions.push(AgentAction::Renew {
             renewal,
-            target_name: life,
+            target_name,
         });
     }
 
-    /// When the renewal on the way counts as unanswered, and its number.
+    /// When the renewal in flight counts as unanswered, and its number.
     pub(super) fn renewal_overdue(&self) -> Option<(Now, u64)> {
-        let (at, number) = self.lease.overdue_at(self.start_time.limit())?;
-        Some((at.max(self.resumed + CATCH_UP), number))
+        let (at, number) = self.lease.overdue_at(self.start_timeout.limit())?;
+        Some((at.max(self.resumed_at + STALL_GRACE), number))
     }
 
     pub(super) fn renew(&mut self) {
@@ -49,21 +48,23 @@
         {
             self.lease.unanswered(self.now, number);
         }
-        // A target in doubt is asked until it answers, though nothing may be left to renew.
-        let is_idle = self.runs.is_empty() && self.knows_lists && !self.lease.has_unanswered_call();
+        // A target with an unanswered call is queried until it answers, even if no lease is left to
+        // renew.
+        let is_idle =
+            self.runs.is_empty() && self.has_read_lists && !self.lease.has_unanswered_call();
         if is_idle {
             return;
         }
-        let wait = self.shortest_look();
+        let wait = self.time_to_slow_check();
         let renew = self.may_renew();
         if let Some(renewal) = self.lease.next(self.now, wait, renew) {
             self.push_renewal(renewal);
         }
     }
 
-    /// Whether the lease may be renewed: not while an overdue stop has failed for too long, and not
-    /// while a run has no owner. Its entry may be counting the time since its last word to an
-    /// earlier life of this agent, and that proof ends with the lease that this life gave.
+    /// Whether the lease may be renewed: not while the stop of an orphaned run is past its bound,
+    /// and not while a run has no owner. The entry of such a run may rely on the lease lapsing,
+    /// counted from its last packet to an earlier incarnation of this agent.
     pub(super) fn may_renew(&self) -> bool {
         let now = self.now;
         let stop_bound = self.options.timings.stop_bound;
@@ -74,22 +75,22 @@
         })
     }
 
-    /// Time until a run is to be looked at for slowness.
-    pub(super) fn shortest_look(&self) -> Duration {
-        let mut shortest = CALM_WAIT;
+    /// Time until the next run is due for a slowness check, at most [`MAX_RENEWAL_WAIT`].
+    pub(super) fn time_to_slow_check(&self) -> Duration {
+        let mut shortest = MAX_RENEWAL_WAIT;
         for (_, run) in self.runs.iter() {
             let since = run.running_since.unwrap_or(self.now);
-            let look = since + run.estimate.mul_f64(LOOK_SHARE) + SLOW_SLACK;
-            let look = look.max(run.slow_report_at);
-            if run.estimate > Duration::ZERO && look > self.now {
-                shortest = shortest.min(look - self.now);
+            let check_at = since + run.estimate.mul_f64(SLOW_CHECK_SHARE) + SLOW_SLACK;
+            let check_at = check_at.max(run.slow_report_at);
+            if run.estimate > Duration::ZERO && check_at > self.now {
+                shortest = shortest.min(check_at - self.now);
             }
         }
         shortest
     }
 
     pub(super) fn renewal_answered(&mut self, number: u64, answer: RenewalAnswer) {
-        // Answers on different connections may overtake one another.
+        // Answers on different connections may arrive out of order.
         if self.lease.is_of_past_incarnation(number) {
             return;
         }
@@ -100,7 +101,7 @@
                 running,
                 ended,
             } => {
-                self.check_born(number, born);
+                self.check_for_restart(number, born);
                 self.lists_read(number, clock, &running, &ended);
             }
             RenewalAnswer::Fenced => {
@@ -110,8 +111,8 @@
             }
             RenewalAnswer::OtherIncarnation => {
                 self.lease.failed(self.now, number);
-                self.end_incarnation("another life answers");
-                self.tell_target();
+                self.end_incarnation("another incarnation answers");
+                self.announce_target();
             }
             RenewalAnswer::Silent => self.lease.unanswered(self.now, number),
             RenewalAnswer::Refused => {
@@ -141,31 +142,31 @@
             return;
         };
         for listed in running {
-            self.listed_running(listed);
+            self.note_listed_run(listed);
         }
-        if ended.len() < FULL_PAGE {
+        if ended.len() < MAX_LISTED_ENDS {
             self.settle_unlisted(answered.sent_at, answered.token, running);
         }
-        if !self.knows_lists {
-            self.knows_lists = true;
+        if !self.has_read_lists {
+            self.has_read_lists = true;
             let adopted = self.runs.len();
             self.log(EventCode::TargetListsRead, format!("adopted={adopted}"));
-            self.tell_target();
+            self.announce_target();
             self.answer_early_orders();
         }
     }
 
-    /// Answers what entries claimed or wanted stopped before it was known what runs.
+    /// Answers claims and stops that entries sent before the lists were read.
     pub(super) fn answer_early_orders(&mut self) {
-        for (life, key, size) in std::mem::take(&mut self.early_claims) {
-            self.claim(life, key, size);
+        for (entry, key, size) in std::mem::take(&mut self.early_claims) {
+            self.answer_claim(entry, key, size);
         }
         for (entry, key) in std::mem::take(&mut self.early_stops) {
-            self.stop_or_tell(entry, key);
+            self.stop_or_report_end(entry, key);
         }
     }
 
-    pub(super) fn listed_running(&mut self, listed: &ListedRun) {
+    pub(super) fn note_listed_run(&mut self, listed: &ListedRun) {
         let ListedRun { key, percent } = *listed;
         if self.runs.get(key).is_none() {
             if self.runs.end_of(key).is_none() {
@@ -196,32 +197,33 @@
         self.runs.insert(key, run);
     }
 
-    /// Settles runs that the target does not list. Only what was known to run, or was fenced off,
-    /// before the lists were asked for: an answer may be older than a start that it lacks.
+    /// Settles runs that the target does not list. This covers only runs that were known to run, or
+    /// whose starts were fenced off, before the request for the lists was sent. A later start may
+    /// be missing because the answer is older than it.
     pub(super) fn settle_unlisted(
         &mut self,
-        asked_at: Now,
-        asked: FencingToken,
+        sent_at: Now,
+        sent_token: FencingToken,
         running: &[ListedRun],
     ) {
-        let mut gone = Vec::new();
-        let mut never = Vec::new();
+        let mut ended = Vec::new();
+        let mut never_started = Vec::new();
         for (key, run) in self.runs.iter() {
             if running.iter().any(|l| l.key == key) {
                 continue;
             }
             match run.phase {
-                Phase::Unsure { token, .. } if token < asked => never.push(key),
-                Phase::Running if run.running_since.is_none_or(|since| since < asked_at) => {
-                    gone.push((key, run.end_if_unlisted));
+                Phase::Unconfirmed { token, .. } if token < sent_token => never_started.push(key),
+                Phase::Running if run.running_since.is_none_or(|since| since < sent_at) => {
+                    ended.push((key, run.end_if_unlisted));
                 }
                 _ => {}
             }
         }
-        for key in never {
+        for key in never_started {
             self.start_lost(key);
         }
-        for (key, end) in gone {
+        for (key, end) in ended {
             self.end_run(key, end);
         }
     }
@@ -238,13 +240,13 @@
         let allowed = run.estimate.mul_f64(SLOW_FACTOR) + SLOW_SLACK;
         let projected = ran.mul_f64(100.0 / f64::from(percent.max(1)));
         let is_slow = run.estimate > Duration::ZERO
-            && ran >= run.estimate.mul_f64(LOOK_SHARE)
+            && ran >= run.estimate.mul_f64(SLOW_CHECK_SHARE)
             && projected > allowed
             && run.slow_report_at <= now;
         if !is_slow || run.stopping.is_some() {
             return;
         }
-        run.slow_report_at = now + SLOW_AGAIN;
+        run.slow_report_at = now + SLOW_REPORT_INTERVAL;
         let slowdown = projected.div_duration_f64(run.estimate);
         let owner = run.owner;
         let slow = SlowRun { slowdown, percent };
--- a/lib/src/run_agent/starts.rs
+++ b/lib/src/run_agent/starts.rs
@@ -1,9 +1,9 @@
-//! Starts: from an entry's order to the proof that a task runs, or never did.
+//! Starts: from an entry's order to the proof that the task runs or never will.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{CATCH_UP, RunAgentCore};
+use super::{RunAgentCore, STALL_GRACE};
 use crate::events::EventCode;
 use crate::ids::{Incarnation, Now, SessionId};
 use crate::run::{NotStarted, RunEnd, RunKey};
@@ -12,21 +12,19 @@
 use crate::run_table::{FencingToken, Phase, Run};
 use crate::target_incarnation::TargetName;
 
-/// How long a start may go unanswered. The target is on this VM and answers within a few
-/// milliseconds; the rest is for a VM that is slowed down.
-pub(super) const START_LIMIT: Duration = Duration::from_millis(100);
-/// The same, at the least, where answers are known to come quickly: four times what an answer
-/// takes at a busy target, and a third of the shortest usual task.
-pub(super) const LEAST_START_LIMIT: Duration = Duration::from_millis(20);
+/// Longest timeout of a start. The target is on the same VM; the margin is for a slowed-down VM.
+pub(super) const MAX_START_TIMEOUT: Duration = Duration::from_millis(100);
+/// Shortest timeout of a start, for targets that answer quickly.
+pub(super) const MIN_START_TIMEOUT: Duration = Duration::from_millis(20);
 
 impl RunAgentCore {
-    /// When a start on the way counts as unanswered.
-    pub(super) fn answer_by(&self, run: &Run) -> Option<Now> {
+    /// When the start of a run counts as unanswered; none if no start is in flight.
+    pub(super) fn answer_deadline(&self, run: &Run) -> Option<Now> {
         let Phase::Starting { sent, .. } = run.phase else {
             return None;
         };
-        let by = sent + self.start_time.limit();
-        Some(by.max(self.resumed + CATCH_UP))
+        let by = sent + self.start_timeout.limit();
+        Some(by.max(self.resumed_at + STALL_GRACE))
     }
 
     pub(super) fn start_ordered(&mut self, link: SessionId, order: StartOrder) {
@@ -50,7 +48,8 @@
         }
     }
 
-    /// The payload of an order, which came with it or before it.
+    /// Returns the payload of an order, which was sent with this order or with an earlier one of
+    /// the batch.
     fn payload_of(&mut self, link: SessionId, order: &StartOrder) -> Result<Arc<str>, NotStarted> {
         let Some(payload) = &order.payload else {
             let known = self.payloads.get(link, order.batch);
@@ -62,7 +61,7 @@
                 Ok(payload)
             }
             Err(e) => {
-                // Nobody who speaks the same version sends such an order.
+                // No entry of the same protocol version sends such an order.
                 self.log(EventCode::MalformedFrame, e.to_string());
                 Err(NotStarted::Unreachable)
             }
@@ -94,9 +93,9 @@
         if start_by <= self.now || !self.entries.is_held(self.now, entry) {
             return Err(NotStarted::Late);
         }
-        let target = self.lives.current().cloned();
+        let target = self.incarnations.current().cloned();
         let target = target.ok_or(NotStarted::Unreachable)?;
-        if self.lives.may_be_leaving() {
+        if self.incarnations.may_be_leaving() {
             return Err(NotStarted::Leaving);
         }
         if self.is_evacuated() {
@@ -105,7 +104,7 @@
         if target.service != order.service {
             return Err(NotStarted::WrongService);
         }
-        if !self.knows_lists || self.lease.is_silent() {
+        if !self.has_read_lists || self.lease.is_silent() {
             return Err(NotStarted::Unreachable);
         }
         if self.lease.has_unanswered_call() {
@@ -114,7 +113,7 @@
         if self.runs.has_task(key.task) {
             return Err(NotStarted::Superseded);
         }
-        // A task that runs alone takes everything, so that nothing joins it.
+        // A task that runs alone reserves the whole capacity.
         let size = if order.alone {
             target.capacity
         } else {
@@ -134,7 +133,7 @@
             start_by,
             since: self.now,
             running_since: None,
-            phase: Phase::Unsure {
+            phase: Phase::Unconfirmed {
                 token: 0,
                 sent: self.now,
             },
@@ -149,17 +148,21 @@
         })
     }
 
-    pub(super) fn send_start(&mut self, key: RunKey, life: TargetName) -> Result<(), NotStarted> {
-        // A start that was lost may be sent again after the hall was evacuated.
+    pub(super) fn send_start(
+        &mut self,
+        key: RunKey,
+        target_name: TargetName,
+    ) -> Result<(), NotStarted> {
+        // Checked again: the hall may have been evacuated before a lost start is resent.
         if self.is_evacuated() {
             return Err(NotStarted::Evacuated);
         }
-        // The room may have shrunk since the run was booked.
-        let capacity = self.lives.current().map(|target| target.capacity);
+        // The capacity may have shrunk since the run was added.
+        let capacity = self.incarnations.current().map(|target| target.capacity);
         if !capacity.is_some_and(|c| self.runs.is_within(c)) {
             return Err(NotStarted::Full);
         }
-        // A start extends the lease of all runs; one that must lapse would go on.
+        // A start extends the lease of all runs, also of those whose lease must lapse.
         if !self.may_renew() {
             return Err(NotStarted::Doubtful);
         }
@@ -171,13 +174,13 @@
             return Ok(());
         };
         run.phase = Phase::Starting { token, sent };
-        self.out.push(AgentAction::Start(StartCall {
+        self.actions.push(AgentAction::Start(StartCall {
             key,
             payload: run.payload.clone(),
             until,
             token,
-            target_name: life,
-            limit: START_LIMIT,
+            target_name,
+            limit: MAX_START_TIMEOUT,
         }));
         Ok(())
     }
@@ -193,9 +196,11 @@
             return;
         };
         match phase {
-            Phase::Starting { token: t, sent } | Phase::Unsure { token: t, sent } if t == token => {
+            Phase::Starting { token: t, sent } | Phase::Unconfirmed { token: t, sent }
+                if t == token =>
+            {
                 if !matches!(answer, StartAnswer::Silent | StartAnswer::Refused) {
-                    self.start_time.learn(self.now.saturating_sub(sent));
+                    self.start_timeout.learn(self.now.saturating_sub(sent));
                     self.lease.note_answer(self.now);
                 }
             }
@@ -212,15 +217,15 @@
             StartAnswer::Full => self.not_started(key, NotStarted::Full),
             StartAnswer::Unhealthy => self.not_started(key, NotStarted::Unhealthy),
             StartAnswer::Refused => {
-                // Nothing more is started before the lists have been read again.
-                self.knows_lists = false;
+                // Nothing is started until the lists have been read again.
+                self.has_read_lists = false;
                 self.lease.note_refused();
                 self.not_started(key, NotStarted::Unreachable);
             }
             StartAnswer::OtherIncarnation => {
                 self.not_started(key, NotStarted::Unreachable);
-                self.end_incarnation("another life answers");
-                self.tell_target();
+                self.end_incarnation("another incarnation answers");
+                self.announce_target();
             }
             StartAnswer::Silent => self.starts_unanswered(&[(key, token)]),
         }
@@ -234,33 +239,34 @@
         }
     }
 
-    /// The start never happened; it is sent once more with a token that counts.
+    /// Resends a start that the target refused because of its token, with a higher one.
     pub(super) fn start_fenced(&mut self, key: RunKey, token: FencingToken) {
         self.lease.raise_token_past(token);
-        self.send_start_again(key, NotStarted::Late);
+        self.retry_start(key, NotStarted::Late);
     }
 
-    /// Sends a start again that is known not to have happened, or tells the entry why not.
-    pub(super) fn send_start_again(&mut self, key: RunKey, reason: NotStarted) {
+    /// Resends a start that is known not to have taken effect, or tells the entry that the run was
+    /// not started.
+    pub(super) fn retry_start(&mut self, key: RunKey, reason: NotStarted) {
         let may_retry = self
             .runs
             .get(key)
             .is_some_and(|r| r.start_by > self.now && r.stopping.is_none());
-        let life = self.lives.current_name();
-        let Some(life) = life.filter(|_| may_retry) else {
+        let target_name = self.incarnations.current_name();
+        let Some(target_name) = target_name.filter(|_| may_retry) else {
             self.not_started(key, reason);
             return;
         };
-        if let Err(reason) = self.send_start(key, life) {
+        if let Err(reason) = self.send_start(key, target_name) {
             self.not_started(key, reason);
         }
     }
 
-    /// Gives up on starts whose answers are overdue.
+    /// Fences off starts whose answers are overdue.
     pub(super) fn fence_overdue_starts(&mut self) {
         let mut overdue = Vec::new();
         for (key, run) in self.runs.iter() {
-            let is_overdue = self.answer_by(run).is_some_and(|by| by <= self.now);
+            let is_overdue = self.answer_deadline(run).is_some_and(|by| by <= self.now);
             if let (Phase::Starting { token, .. }, true) = (run.phase, is_overdue) {
                 overdue.push((key, token));
             }
@@ -268,10 +274,10 @@
         self.starts_unanswered(&overdue);
     }
 
-    /// These starts may have been done or may be done later. A higher token, once the target has
-    /// seen it, makes the second impossible, and its lists tell the first.
+    /// Fences off starts that may have taken effect or may do so later. Once the target has seen a
+    /// higher token, they can't take effect any more, and its lists tell which ones did.
     pub(super) fn starts_unanswered(&mut self, starts: &[(RunKey, FencingToken)]) {
-        let mut is_any_new = false;
+        let mut has_new = false;
         for &(key, token) in starts {
             let Some(run) = self.runs.get_mut(key) else {
                 continue;
@@ -279,8 +285,8 @@
             let Phase::Starting { sent, .. } = run.phase else {
                 continue;
             };
-            run.phase = Phase::Unsure { token, sent };
-            is_any_new = true;
+            run.phase = Phase::Unconfirmed { token, sent };
+            has_new = true;
             let after_ms = self.now.saturating_sub(sent).as_millis();
             self.log(
                 EventCode::StartUnanswered,
@@ -290,26 +296,26 @@
                 self.lease.raise_token();
             }
         }
-        if is_any_new {
+        if has_new {
             let renew = self.may_renew();
             let renewal = self.lease.at_once(self.now, renew);
             self.push_renewal(renewal);
         }
     }
 
-    /// A start was lost on its way. It is sent once more; the second loss is the entry's to mend,
-    /// for a target may swallow all orders.
+    /// Resends a lost start once. A second loss is reported to the entry, because the target may be
+    /// dropping all orders.
     pub(super) fn start_lost(&mut self, key: RunKey) {
         let Some(run) = self.runs.get_mut(key) else {
             return;
         };
         if let end @ RunEnd::Crashed { .. } = run.end_if_unlisted {
-            // It may have been the start itself that the target crashed at: no second one here.
+            // The start itself may have crashed the target, so it isn't resent.
             self.end_run(key, end);
         } else if std::mem::replace(&mut run.is_resent, true) {
             self.not_started(key, NotStarted::Unanswered);
         } else {
-            self.send_start_again(key, NotStarted::Unanswered);
+            self.retry_start(key, NotStarted::Unanswered);
         }
     }
 }
--- a/lib/src/run_event.rs
+++ b/lib/src/run_event.rs
@@ -1,7 +1,8 @@
-//! What the agent's core on the platform is told and what it wants done.
+//! Events and actions of the agent's core on the platform.
 //!
 //! [`AgentAction::Start`], [`AgentAction::Renew`], [`AgentAction::CheckIncarnation`] and
-//! [`AgentAction::AskEvacuations`] are each answered by one event, within the limit that they name. Actions are carried out in order; each may fail.
+//! [`AgentAction::AskEvacuations`] are each answered by one event, within the limit that they name.
+//! Actions are executed in order; each may fail.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,92 +18,94 @@
 use crate::target_lease::{EndNumber, ListedRun, Renewal, TargetMillis};
 use crate::timings::Timings;
 
-/// What an agent is told at start.
+/// Options of an agent, given at start.
 #[derive(Debug, Clone)]
 pub struct AgentOptions {
-    /// Name of the VM's process.
+    /// Name of the agent process on its VM.
     pub name: NodeName,
-    /// This life.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
     /// Data hall.
     pub hall: HallName,
-    /// The chain of times.
+    /// Timing bounds.
     pub timings: Timings,
-    /// First fencing token: the time of day in milliseconds, so that it rises with each life.
+    /// First fencing token: the time of day in milliseconds, which rises with each incarnation.
     pub token: FencingToken,
     /// Entries to dial at start.
     pub seeds: Vec<SocketAddr>,
-    /// How long after its order an evacuation must be obeyed; none if the platform orders none.
+    /// Time from the order of an evacuation until it must be in force; none if the platform orders
+    /// no evacuations.
     pub evacuation_bound: Option<Duration>,
 }
 
 /// A target's report on itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetReport {
-    /// What it is.
+    /// Incarnation, service, capacity and state of the target.
     pub info: TargetInfo,
-    /// Rises with each report of one life.
+    /// Rises with each report of one incarnation.
     pub sequence: u64,
 }
 
-/// What the target answered to an order to start.
+/// The target's answer to a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartAnswer {
-    /// It runs.
+    /// The run has started.
     Started {
         /// The target's clock.
         clock: TargetMillis,
     },
-    /// A higher fencing token was seen.
+    /// The target has seen a higher fencing token.
     Fenced,
-    /// A higher number of this task was seen.
+    /// The target has seen a higher run number of this task.
     Superseded,
-    /// The lease asked for is over already.
+    /// The requested lease has already expired.
     Late,
-    /// No room.
+    /// The target has no free capacity.
     Full,
-    /// The target is unwell and has done nothing.
+    /// The target is unhealthy and started nothing.
     Unhealthy,
-    /// Another life of the target answered, which has done nothing.
+    /// Another incarnation of the target answered and started nothing.
     OtherIncarnation,
-    /// The connection was refused: nothing was done.
+    /// The connection was refused, so nothing was started.
     Refused,
-    /// No answer: it may have been done, or may be done later.
+    /// No answer: the run may have started or may start later.
     Silent,
 }
 
-/// What the target answered to a renewal.
+/// The target's answer to a renewal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RenewalAnswer {
-    /// The lists.
+    /// The target's lists.
     Lists {
-        /// When the life that tells them began, if it says so.
+        /// Start time of the answering incarnation, if the target states it.
         born: Option<BornMillis>,
         /// The target's clock.
         clock: TargetMillis,
-        /// What runs.
+        /// Running runs.
         running: Vec<ListedRun>,
-        /// What has ended since the number that was sent.
+        /// Ends after the number that was sent.
         ended: Vec<(EndNumber, RunKey, RunEnd)>,
     },
-    /// A higher fencing token was seen.
+    /// The target has seen a higher fencing token.
     Fenced,
-    /// Another life of the target answered.
+    /// Another incarnation of the target answered.
     OtherIncarnation,
-    /// The connection was refused: no process is there.
+    /// The connection was refused: no process listens.
     Refused,
     /// No answer.
     Silent,
 }
 
-/// What came of a call that names one life of the target.
+/// Outcome of a call that names an incarnation of the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IncarnationAnswer {
-    /// A life of that name answered, which began then if it says so.
+    /// An incarnation of that name answered, with its start time if it states one.
     Alive(Option<BornMillis>),
-    /// A life of another name answered.
+    /// An incarnation of another name answered.
     OtherIncarnation,
-    /// A life of that name answered, and not which: a higher fencing token was seen.
+    /// An incarnation of that name answered without its start time, because it has seen a higher
+    /// fencing token.
     Fenced,
     /// No answer.
     Silent,
@@ -119,26 +122,26 @@
     }
 }
 
-/// What an agent is told.
+/// Input of an agent's core.
 #[derive(Debug, Clone)]
 pub enum AgentEvent {
-    /// A time that was asked for has come.
+    /// The requested wake time has come.
     Wake,
-    /// A link to the entry at this address stands.
+    /// A link to the entry at this address is up.
     LinkUp(SessionId, SocketAddr),
-    /// A link is gone.
+    /// A link is down.
     LinkDown(SessionId),
-    /// A packet of an entry.
+    /// A packet from an entry.
     Packet(SessionId, EntryPacket),
     /// The target reports on itself.
     Report(TargetReport),
-    /// A target of this name says goodbye, and when its life began if it says so.
+    /// Goodbye of a target of this name, with the start time of its incarnation if it states one.
     TargetLeft(TargetName, Option<BornMillis>),
     /// Answer to [`AgentAction::Start`].
     StartAnswered {
         /// The run.
         key: RunKey,
-        /// Token of the order.
+        /// Fencing token of the start.
         token: FencingToken,
         /// The answer.
         answer: StartAnswer,
@@ -152,18 +155,18 @@
     },
     /// Answer to [`AgentAction::CheckIncarnation`].
     IncarnationChecked {
-        /// Number of the look.
+        /// Number of the query.
         number: u64,
         /// The answer.
         answer: IncarnationAnswer,
     },
-    /// More entries, from the settings or the registry.
+    /// Addresses of entries from the settings or the registry.
     Entries(Vec<SocketAddr>),
-    /// Answer to [`AgentAction::AskEvacuations`]; none if the store gave none.
+    /// Answer to [`AgentAction::AskEvacuations`]; none if the read failed.
     Evacuations(Option<Arc<EvacuatedHalls>>),
-    /// The VM was suspended for so long, the target with it, and goes on now.
+    /// The VM, with its target, has resumed after a suspension of this length.
     Resumed(Duration),
-    /// Stop in an orderly way.
+    /// Drain and then exit.
     Drain,
 }
 
@@ -172,68 +175,68 @@
 pub struct StartCall {
     /// The run.
     pub key: RunKey,
-    /// What the task is given.
+    /// Payload of the task.
     pub payload: Arc<str>,
     /// End of the lease on the target's clock.
     pub until: TargetMillis,
-    /// Token.
+    /// Fencing token.
     pub token: FencingToken,
-    /// Name of the target's life that is meant.
+    /// Name of the target that is addressed.
     pub target_name: TargetName,
-    /// When the answer counts as lost.
+    /// Timeout of the call.
     pub limit: Duration,
 }
 
-/// What an agent wants done.
+/// Output of an agent's core.
 #[derive(Debug, Clone)]
 pub enum AgentAction {
     /// Send a packet.
     Send(SessionId, AgentPacket),
     /// Close a link.
     Close(SessionId),
-    /// Keep a connection to the entry at this address.
+    /// Connect to the entry at this address and reconnect when the connection breaks.
     Dial(SocketAddr),
-    /// Keep no connection to the entry at this address any more.
+    /// Disconnect from the entry at this address and don't reconnect.
     Disconnect(SocketAddr),
     /// Start a run.
     Start(StartCall),
-    /// Stop a run. No answer is expected: the end will be listed.
+    /// Stop a run. No event answers this; the target lists the end.
     Stop {
         /// The run.
         key: RunKey,
-        /// Token.
+        /// Fencing token.
         token: FencingToken,
-        /// Name of the target's life that is meant.
+        /// Name of the target that is addressed.
         target_name: Option<TargetName>,
     },
     /// Renew the lease and read the lists.
     Renew {
         /// The renewal.
         renewal: Renewal,
-        /// Name of the target's life that is meant.
+        /// Name of the target that is addressed.
         target_name: Option<TargetName>,
     },
-    /// Ask the target whether a life of this name answers, and which.
+    /// Check which incarnation of this name answers, if any.
     CheckIncarnation {
-        /// A look at the lists that renews nothing.
+        /// A query of the lists, which renews no lease.
         look: Renewal,
-        /// The name.
+        /// Name of the target that is addressed.
         target_name: TargetName,
     },
-    /// Ask the store which halls are evacuated.
+    /// Read from the store which halls are evacuated.
     AskEvacuations,
-    /// Ask the store for entries; what it knows comes as [`AgentEvent::Entries`].
+    /// Read the addresses of entries from the store; they arrive as [`AgentEvent::Entries`].
     AskEntries,
     /// Write a line to the log.
     Log(LogEvent),
-    /// Stop the process.
+    /// Exit the process.
     Exit,
 }
 
-/// Figures of an agent.
+/// Gauges of an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AgentLevels {
-    /// Runs booked.
+    /// Runs in the run table.
     pub runs: u64,
     /// Links to entries.
     pub entries: u64,
--- a/lib/src/run_table.rs
+++ b/lib/src/run_table.rs
@@ -1,8 +1,8 @@
-//! The agent's book of runs on its target: whose they are, what they take, how far they are.
+//! The agent's table of runs on its target: their owners, resources and phases.
 //!
-//! Invariant: a run stays booked, and its resources taken, until there is proof that nothing of
-//! it runs and nothing ever will: the target listed its end, refused its start, or its lease must
-//! have run out.
+//! Invariant: a run stays in the table, with its resources reserved, until there is proof that it
+//! does not run and never will: the target listed its end or refused its start, or its lease must
+//! have lapsed.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -12,17 +12,17 @@
 use crate::resources::Resources;
 use crate::run::{RunEnd, RunKey, TaskKey};
 
-/// How long an end is remembered for an entry that missed the news. Longer than an entry waits
-/// before it takes a silent agent's runs for over.
-const REMEMBER_END: Duration = Duration::from_secs(16);
+/// How long an end is kept for entries that missed it. Longer than an entry waits before it
+/// considers the runs of a silent agent lost.
+const END_RETENTION: Duration = Duration::from_secs(16);
 
-/// Fencing token of an order.
+/// Fencing token of an order. The target refuses orders with a lower token than it has seen.
 pub type FencingToken = u64;
 
-/// Where a run is.
+/// Phase of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Its start is on the way.
+    /// Its start is in flight.
     Starting {
         /// Token of the order.
         token: FencingToken,
@@ -30,75 +30,74 @@
         sent: Now,
     },
     /// Its start was not answered in time. A higher token settles whether it runs.
-    Unsure {
+    Unconfirmed {
         /// Token of the order.
         token: FencingToken,
         /// When it was sent.
         sent: Now,
     },
-    /// The target has it.
+    /// The target has started it.
     Running,
 }
 
-/// A stop that was asked for.
+/// State of a requested stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stopping {
-    /// When it is to be sent again.
+    /// When to send it next.
     pub resend_at: Now,
-    /// Since when nobody answers for the run: the stop must then succeed within bounds. Counted from
-    /// that time and not from when it was noticed, or a process that stood still would renew what
-    /// must lapse.
+    /// When the run was orphaned, if it was; the stop must succeed within the stop bound after
+    /// that. This is the time of the lapse, not of its detection. Otherwise an agent that was
+    /// stalled in between would renew a lease that must lapse.
     pub orphaned_since: Option<Now>,
 }
 
-/// One run.
+/// A run on the target.
 #[derive(Debug, Clone)]
 pub struct Run {
-    /// Life of the entry that answers for it; none if it was adopted and not claimed yet.
+    /// Incarnation of the entry that owns it; none if it was adopted and not claimed yet.
     pub owner: Option<Incarnation>,
-    /// What it takes; none while not known.
+    /// Resources that it takes; none while unknown.
     pub size: Option<Resources>,
-    /// What the task was given; empty for adopted ones, which are never started again here.
+    /// Payload of the task; empty for an adopted run, whose start is never resent.
     pub payload: Arc<str>,
-    /// How long it may take.
+    /// Estimated duration; zero if unknown.
     pub estimate: Duration,
-    /// Last moment for a first or repeated start.
+    /// Deadline for the first and the resent start.
     pub start_by: Now,
-    /// When it was ordered or adopted.
+    /// When the start was ordered or the run was adopted.
     pub since: Now,
-    /// When the target had it, as far as known.
+    /// When it was first known to run.
     pub running_since: Option<Now>,
-    /// Where it is.
+    /// Current phase.
     pub phase: Phase,
-    /// Whether its start was sent a second time, for the first was lost.
+    /// Whether its lost start was resent.
     pub is_resent: bool,
-    /// Stop that was asked for.
+    /// Requested stop, if any.
     pub stopping: Option<Stopping>,
-    /// When its slowness may be reported next.
+    /// When it may be reported as slow next.
     pub slow_report_at: Now,
-    /// What it counts as if it turns out to be over without a listed end: lost, or crashed once the
-    /// target has crashed with it.
+    /// Outcome if its end is not listed: lost, or crashed if the target crashed while it had it.
     pub end_if_unlisted: RunEnd,
 }
 
-/// All runs of one target.
+/// The runs of one target and their recent ends.
 #[derive(Debug, Default)]
 pub struct RunTable {
     runs: BTreeMap<RunKey, Run>,
-    booked: Resources,
-    /// Size of the run that was booked last.
+    reserved: Resources,
+    /// Size of the sized run that was added last.
     last_size: Resources,
     unsized_runs: u32,
-    ends: BTreeMap<RunKey, RunEnd>,
-    ends_order: VecDeque<(Now, RunKey)>,
+    recent_ends: BTreeMap<RunKey, RunEnd>,
+    ends_by_time: VecDeque<(Now, RunKey)>,
 }
 
 impl RunTable {
-    /// Books a run.
+    /// Adds a run and reserves its resources.
     pub fn insert(&mut self, key: RunKey, run: Run) {
         match run.size {
             Some(size) => {
-                self.booked = self.booked.plus(size);
+                self.reserved = self.reserved.plus(size);
                 self.last_size = size;
             }
             None => self.unsized_runs += 1,
@@ -106,17 +105,18 @@
         self.runs.insert(key, run);
     }
 
-    /// Takes a run off the book: it is proven to be over.
+    /// Removes a run that is proven to be over and releases its resources.
     pub fn remove(&mut self, key: RunKey) -> Option<Run> {
         let run = self.runs.remove(&key)?;
         match run.size {
-            Some(size) => self.booked = self.booked.minus(size),
+            Some(size) => self.reserved = self.reserved.minus(size),
             None => self.unsized_runs -= 1,
         }
         Some(run)
     }
 
-    /// Gives an adopted run its owner and size.
+    /// Sets the owner of a run, and its size if that is unknown. Returns false if the run is not in
+    /// the table.
     pub fn claim(&mut self, key: RunKey, owner: Incarnation, size: Resources) -> bool {
         let Some(run) = self.runs.get_mut(&key) else {
             return false;
@@ -125,22 +125,22 @@
         if run.size.is_none() {
             run.size = Some(size);
             self.unsized_runs -= 1;
-            self.booked = self.booked.plus(size);
+            self.reserved = self.reserved.plus(size);
         }
         true
     }
 
-    /// A run.
+    /// Returns a run.
     pub fn get(&self, key: RunKey) -> Option<&Run> {
         self.runs.get(&key)
     }
 
-    /// A run, to be changed in all but its size.
+    /// Returns a run for changes. Its size must not be changed.
     pub fn get_mut(&mut self, key: RunKey) -> Option<&mut Run> {
         self.runs.get_mut(&key)
     }
 
-    /// Whether any run of a task is booked.
+    /// Whether the table has any run of a task.
     pub fn has_task(&self, task: TaskKey) -> bool {
         let first = RunKey { task, run: 0 };
         let next = self.runs.range(first..).next();
@@ -152,7 +152,7 @@
         self.runs.iter().map(|(key, run)| (*key, run))
     }
 
-    /// All runs, to be changed in all but their size.
+    /// All runs, for changes. Their sizes must not be changed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (RunKey, &mut Run)> {
         self.runs.iter_mut().map(|(key, run)| (*key, run))
     }
@@ -162,7 +162,7 @@
         self.runs.keys().copied().collect()
     }
 
-    /// Whether nothing is booked.
+    /// Whether the table has no runs.
     pub fn is_empty(&self) -> bool {
         self.runs.is_empty()
     }
@@ -172,20 +172,20 @@
         self.runs.len()
     }
 
-    /// What is free of `capacity`; nothing while the size of any run is not known.
+    /// Returns the free part of `capacity`; nothing while the size of any run is unknown.
     pub fn free(&self, capacity: Resources) -> Resources {
         if self.unsized_runs > 0 {
             return Resources::NONE;
         }
-        capacity.minus(self.booked)
+        capacity.minus(self.reserved)
     }
 
-    /// Whether all that is booked fits in `capacity`; no while the size of any run is not known.
+    /// Whether all runs fit in `capacity`; false while the size of any run is unknown.
     pub fn is_within(&self, capacity: Resources) -> bool {
-        self.unsized_runs == 0 && self.booked.fits_in(capacity)
+        self.unsized_runs == 0 && self.reserved.fits_in(capacity)
     }
 
-    /// Notes that the target crashed with all that is booked.
+    /// Records that the target crashed while it had all runs of the table.
     pub fn note_crash(&mut self) {
         let alone = self.runs.len() == 1;
         for run in self.runs.values_mut() {
@@ -193,31 +193,31 @@
         }
     }
 
-    /// What a run takes as a rule: the mean of those booked, or the last one; nothing at first.
-    pub fn usual_size(&self) -> Resources {
+    /// Returns the mean size of the sized runs; without any, the size of the last one, or nothing.
+    pub fn typical_size(&self) -> Resources {
         let sized = self.runs.len() as u64 - u64::from(self.unsized_runs);
         if sized == 0 {
             return self.last_size;
         }
-        self.booked.divided_by(sized)
+        self.reserved.divided_by(sized)
     }
 
-    /// Remembers how a run ended.
+    /// Records how a run ended and drops expired ends.
     pub fn remember_end(&mut self, now: Now, key: RunKey, end: RunEnd) {
-        while let Some(&(at, oldest)) = self.ends_order.front() {
-            if at + REMEMBER_END > now {
+        while let Some(&(at, oldest)) = self.ends_by_time.front() {
+            if at + END_RETENTION > now {
                 break;
             }
-            self.ends_order.pop_front();
-            self.ends.remove(&oldest);
+            self.ends_by_time.pop_front();
+            self.recent_ends.remove(&oldest);
         }
-        if self.ends.insert(key, end).is_none() {
-            self.ends_order.push_back((now, key));
+        if self.recent_ends.insert(key, end).is_none() {
+            self.ends_by_time.push_back((now, key));
         }
     }
 
-    /// How a run ended, if it ended of late.
+    /// Returns how a run ended, if its end is still kept.
     pub fn end_of(&self, key: RunKey) -> Option<RunEnd> {
-        self.ends.get(&key).copied()
+        self.recent_ends.get(&key).copied()
     }
 }
--- a/lib/src/target_incarnation.rs
+++ b/lib/src/target_incarnation.rs
@@ -1,36 +1,36 @@
-//! What tells one life of a target from another.
+//! Identity of a target's incarnation.
 //!
-//! A target that crashed may come back under the name that it had. It then runs nothing and knows
-//! nothing of before, and all that it counts begins anew: the numbers of its reports and of its
-//! ends, its clock. So a name is not enough to compare such numbers.
+//! A target that crashed may restart under the same name. It then has no runs and no state, and its
+//! clock and the numbers of its reports and ends start again. Such numbers can be compared only
+//! within one incarnation, which the name alone does not identify.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Name of a target. Calls name it; each life that bears it answers them.
+/// Name of a target. Calls state it, and any incarnation of that name answers them.
 pub type TargetName = Arc<str>;
-/// When a life of a target began, in milliseconds of the time of day on the target's VM. Not
-/// compared for order: clocks may step.
+/// Start time of a target's incarnation, in milliseconds of the time of day on the target's VM.
+/// Compared only for equality, because clocks may step.
 pub type BornMillis = u64;
 
-/// One life of a target.
+/// Identifies an incarnation of a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetIncarnation {
-    /// Its name.
+    /// Name of the target.
     pub name: TargetName,
-    /// When it began; none where targets do not say so and take a new name for each life.
+    /// Start time; none for targets that don't state one and take a new name for each incarnation.
     pub born: Option<BornMillis>,
 }
 
 impl TargetIncarnation {
-    /// Whether lists that were asked for by this life's name, and whose teller began then, are this
-    /// life's. Lists without a start prove nothing against it; a life without one is not a target
-    /// that states its own.
-    pub fn tells(&self, born: Option<BornMillis>) -> bool {
+    /// Whether lists requested by this name that state the start time `born` can be from this
+    /// incarnation. Lists without a start time always can; lists with one can't be from an
+    /// incarnation without.
+    pub fn matches_born(&self, born: Option<BornMillis>) -> bool {
         match (self.born, born) {
-            (Some(own), Some(told)) => own == told,
+            (Some(own), Some(stated)) => own == stated,
             (None, Some(_)) => false,
             (_, None) => true,
         }
--- a/lib/src/target_incarnations.rs
+++ b/lib/src/target_incarnations.rs
@@ -1,11 +1,10 @@
-//! Which life of its target an agent works with.
+//! Tracks the incarnations of an agent's target and which one is current.
 //!
-//! A target that crashes comes back as another life at the same address, often under the same name,
-//! and a report can be held back on its way until its sender is dead. So a report alone proves
-//! nothing, and neither does a goodbye. Invariant: a life becomes the current one only once it has
-//! answered a call that names it, and is over only once another life has answered such a call.
-//! Lives follow one another, so a life that has reported, and in whose place another answers, never
-//! comes back.
+//! A crashed target restarts as a new incarnation at the same address, often under the same name. A
+//! report or goodbye may arrive after its sender has died, so neither proves anything by itself.
+//! Invariant: an incarnation becomes current only once it has answered a call that names it, and is
+//! over only once another incarnation has answered such a call. An incarnation that is over never
+//! returns.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,107 +14,106 @@
 use crate::run_message::TargetInfo;
 use crate::target_incarnation::{TargetIncarnation, TargetName};
 
-/// Pause before a life that did not answer is asked again: a target in trouble is asked by its
-/// renewals as well.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
-/// A life that neither answers nor reports for so long is not asked any more. Three reports.
-const ASKED_FOR: Duration = Duration::from_millis(4_500);
-/// Lives that may be asked at a time: the living one, and dead ones whose reports came late.
-const MOST_REPORTED: usize = 4;
-/// Dead lives that are remembered. A forgotten one that reports again is merely asked again.
-const MOST_PAST: usize = 64;
-
-/// A life that has reported and has not been proven to live yet.
+/// Delay before an incarnation that did not answer is checked again.
+const RECHECK_DELAY: Duration = Duration::from_millis(100);
+/// An incarnation that neither answers nor reports for this long is no longer checked.
+const CHECK_EXPIRY: Duration = Duration::from_millis(4_500);
+/// Most incarnations that are checked at a time: the living one and dead ones with late reports.
+const MAX_CANDIDATES: usize = 4;
+/// Most past incarnations that are remembered. A forgotten one that reports is checked again.
+const MAX_PAST: usize = 64;
+
+/// An incarnation that has reported and is not proven to be alive yet.
 #[derive(Debug)]
-struct ReportedLife {
+struct Candidate {
     report: TargetReport,
     reported_at: Now,
-    /// Where the question whether it lives stands.
-    question: Question,
+    check: CheckState,
 }
 
-/// See [`ReportedLife`].
+/// State of the check whether a candidate is alive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Question {
-    /// It is to be asked at this time.
+enum CheckState {
+    /// The check is due at this time.
     Due(Now),
-    /// The call with this number has asked it.
-    Asked(u64),
+    /// The check is in flight as the call with this number.
+    InFlight(u64),
 }
 
-impl Question {
+impl CheckState {
     fn due_at(self) -> Option<Now> {
         match self {
             Self::Due(at) => Some(at),
-            Self::Asked(_) => None,
+            Self::InFlight(_) => None,
         }
     }
 }
 
-/// What a report comes to.
+/// Result of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportOutcome {
-    /// Nothing: it says what is known.
+    /// The report contains nothing new.
     Known,
-    /// Nothing: its number is no higher than this one, which the same life has told before.
+    /// Ignored: its number is not above this one, the last of the current incarnation.
     Late(u64),
-    /// Nothing: the life that it names is over.
+    /// Ignored: the incarnation is over.
     PastIncarnation,
-    /// Nothing: it names another service than the life it speaks for. A life keeps its service, so
-    /// this is another writer's, and its number is not the target's.
+    /// Ignored: the service differs from that of the current incarnation. An incarnation keeps its
+    /// service, so another writer sent this report, and its number is not the target's.
     OtherService,
-    /// The current life has changed.
+    /// The state of the current incarnation has changed.
     Changed,
-    /// Another life reports, and is to be asked.
+    /// Another incarnation reports and needs to be checked.
     NeedsCheck,
 }
 
-/// See the module.
+/// The current, reported and past incarnations of a target.
 #[derive(Debug, Default)]
 pub struct TargetIncarnations {
     current: Option<TargetInfo>,
-    /// Name of the last life that was current: orders that may still be on their way bear it.
+    /// Name of the last current incarnation. Orders in flight may still state it.
     last_name: Option<TargetName>,
-    /// Number of the current life's last report.
+    /// Number of the current incarnation's last report.
     sequence: u64,
     past: VecDeque<TargetIncarnation>,
-    reported: Vec<ReportedLife>,
+    candidates: Vec<Candidate>,
 }
 
 impl TargetIncarnations {
-    /// The life that is worked with, if any.
+    /// Returns the last report of the current incarnation, if there is one.
     pub fn current(&self) -> Option<&TargetInfo> {
         self.current.as_ref()
     }
 
-    /// What tells it from others.
+    /// Returns the identity of the current incarnation.
     pub fn current_incarnation(&self) -> Option<&TargetIncarnation> {
         self.current.as_ref().map(|t| &t.life)
     }
 
-    /// The name that calls to it bear.
+    /// Returns the target name to state in calls to the current incarnation.
     pub fn current_name(&self) -> Option<TargetName> {
-        self.current_incarnation().map(|life| life.name.clone())
+        self.current_incarnation()
+            .map(|incarnation| incarnation.name.clone())
     }
 
-    /// Name of the last life that was worked with.
+    /// Returns the name of the last current incarnation.
     pub fn last_name(&self) -> Option<&TargetName> {
         self.last_name.as_ref()
     }
 
-    /// Whether the target may be leaving: by the current life's word, or by that of another life of
-    /// its name that is still being asked. The latter was missed where lives were told apart by
-    /// name alone: a target got new work for 3.7 s after its leave.
+    /// Whether the target may be leaving, by a report of the current incarnation or of one of the
+    /// same name that is still being checked. Otherwise a restarted target that leaves would get
+    /// new work until its check is answered.
     pub fn may_be_leaving(&self) -> bool {
         let Some(current) = &self.current else {
             return false;
         };
-        let is_namesake = |r: &&ReportedLife| r.report.info.life.name == current.life.name;
-        let mut namesakes = self.reported.iter().filter(is_namesake);
-        current.leaving || namesakes.any(|r| r.report.info.leaving)
+        let has_same_name = |c: &&Candidate| c.report.info.life.name == current.life.name;
+        let mut same_name = self.candidates.iter().filter(has_same_name);
+        current.leaving || same_name.any(|c| c.report.info.leaving)
     }
 
-    /// Takes in a report.
+    /// Handles a report.
     pub fn report(&mut self, now: Now, report: TargetReport) -> ReportOutcome {
         if self.past.contains(&report.info.life) {
             return ReportOutcome::PastIncarnation;
@@ -123,7 +121,7 @@
         if self.current_incarnation() == Some(&report.info.life) {
             return self.report_of_current(report);
         }
-        self.note_reported(now, report);
+        self.note_candidate(now, report);
         ReportOutcome::NeedsCheck
     }
 
@@ -143,97 +141,98 @@
         ReportOutcome::Changed
     }
 
-    fn note_reported(&mut self, now: Now, report: TargetReport) {
-        let life = &report.info.life;
-        let before = self
-            .reported
+    fn note_candidate(&mut self, now: Now, report: TargetReport) {
+        let incarnation = &report.info.life;
+        let known = self
+            .candidates
             .iter_mut()
-            .find(|r| r.report.info.life == *life);
-        if let Some(before) = before {
-            before.reported_at = now;
-            if before.report.sequence < report.sequence {
-                before.report = report;
+            .find(|c| c.report.info.life == *incarnation);
+        if let Some(known) = known {
+            known.reported_at = now;
+            if known.report.sequence < report.sequence {
+                known.report = report;
             }
             return;
         }
-        if self.reported.len() >= MOST_REPORTED {
-            self.reported.remove(0);
+        if self.candidates.len() >= MAX_CANDIDATES {
+            self.candidates.remove(0);
         }
-        self.reported.push(ReportedLife {
+        self.candidates.push(Candidate {
             report,
             reported_at: now,
-            question: Question::Due(now),
+            check: CheckState::Due(now),
         });
     }
 
-    /// The name of the next life that is to be asked now, by the call with this number.
+    /// Returns the target name for the next check that is due and records `number` as its call.
     pub fn take_due(&mut self, now: Now, number: u64) -> Option<TargetName> {
-        self.reported
-            .retain(|r| r.reported_at + ASKED_FOR > now || r.question.due_at().is_none());
-        let is_due = |r: &&mut ReportedLife| r.question.due_at().is_some_and(|at| at <= now);
-        let due = self.reported.iter_mut().find(is_due)?;
-        due.question = Question::Asked(number);
+        self.candidates
+            .retain(|c| c.reported_at + CHECK_EXPIRY > now || c.check.due_at().is_none());
+        let is_due = |c: &&mut Candidate| c.check.due_at().is_some_and(|at| at <= now);
+        let due = self.candidates.iter_mut().find(is_due)?;
+        due.check = CheckState::InFlight(number);
         Some(due.report.info.life.name.clone())
     }
 
-    /// When a life is to be asked next.
+    /// Returns when the next check is due.
     pub fn next_wake(&self) -> Option<Now> {
-        let due = self.reported.iter().filter_map(|r| r.question.due_at());
+        let due = self.candidates.iter().filter_map(|c| c.check.due_at());
         due.min()
     }
 
-    /// The life that a call has asked, if the answer still matters.
-    pub fn asked_by(&self, number: u64) -> Option<TargetIncarnation> {
-        let mut reported = self.reported.iter();
-        let found = reported.find(|r| r.question == Question::Asked(number));
-        found.map(|r| r.report.info.life.clone())
+    /// Returns the incarnation that a call checks, if its answer still matters.
+    pub fn checked_by(&self, number: u64) -> Option<TargetIncarnation> {
+        let mut candidates = self.candidates.iter();
+        let found = candidates.find(|c| c.check == CheckState::InFlight(number));
+        found.map(|c| c.report.info.life.clone())
     }
 
-    /// A reported life has answered: it is the current one from now on. The one before must have
-    /// been ended.
-    pub fn answered(&mut self, now: Now, life: &TargetIncarnation) {
-        let mut reported = self.reported.iter();
-        let Some(position) = reported.position(|r| r.report.info.life == *life) else {
+    /// Makes a reported incarnation current after it has answered. The previous one must have
+    /// been marked as over.
+    pub fn make_current(&mut self, now: Now, incarnation: &TargetIncarnation) {
+        let mut candidates = self.candidates.iter();
+        let Some(position) = candidates.position(|c| c.report.info.life == *incarnation) else {
             return;
         };
-        let TargetReport { info, sequence } = self.reported.remove(position).report;
+        let TargetReport { info, sequence } = self.candidates.remove(position).report;
         self.last_name = Some(info.life.name.clone());
         self.current = Some(info);
         self.sequence = sequence;
-        // An answer of another life may be on its way from before this one began.
-        for other in &mut self.reported {
-            other.question = Question::Due(now);
+        // An answer in flight to another check may have been sent before this incarnation started.
+        for other in &mut self.candidates {
+            other.check = CheckState::Due(now);
         }
     }
 
-    /// A reported life has not answered.
-    pub fn unanswered(&mut self, now: Now, life: &TargetIncarnation) {
-        self.ask_at(now + ASK_AGAIN, life);
+    /// Schedules another check of a reported incarnation that has not answered.
+    pub fn recheck_later(&mut self, now: Now, incarnation: &TargetIncarnation) {
+        self.check_at(now + RECHECK_DELAY, incarnation);
     }
 
-    /// Asks a reported life again at a time.
-    pub fn ask_at(&mut self, at: Now, life: &TargetIncarnation) {
-        let asked = self.reported.iter_mut();
-        for reported in asked.filter(|r| r.report.info.life == *life) {
-            reported.question = Question::Due(at);
+    /// Schedules the next check of a reported incarnation.
+    pub fn check_at(&mut self, at: Now, incarnation: &TargetIncarnation) {
+        let candidates = self.candidates.iter_mut();
+        for candidate in candidates.filter(|c| c.report.info.life == *incarnation) {
+            candidate.check = CheckState::Due(at);
         }
     }
 
-    /// The current life is not worked with any more. It is not proven to be over: if it reports
-    /// again, it is asked.
+    /// Drops the current incarnation without marking it as over. If it reports again, it is
+    /// checked.
     pub fn forget_current(&mut self) {
         self.current = None;
     }
 
-    /// Another life answers in a life's place: it is over for good.
-    pub fn over(&mut self, life: &TargetIncarnation) {
-        self.reported.retain(|r| r.report.info.life != *life);
-        if self.current_incarnation() == Some(life) {
+    /// Marks an incarnation as over for good, after another one has answered in its place.
+    pub fn mark_over(&mut self, incarnation: &TargetIncarnation) {
+        self.candidates
+            .retain(|c| c.report.info.life != *incarnation);
+        if self.current_incarnation() == Some(incarnation) {
             self.current = None;
         }
-        if self.past.len() >= MOST_PAST {
+        if self.past.len() >= MAX_PAST {
             self.past.pop_front();
         }
-        self.past.push_back(life.clone());
+        self.past.push_back(incarnation.clone());
     }
 }
