--- a/lib/src/apply.rs
+++ b/lib/src/apply.rs
@@ -1,4 +1,5 @@
-//! Applying a configuration: compare-and-set on the log, whose fate is learned by reading.
+//! Applies a configuration by compare-and-set on the log. The outcome is learned by reading the
+//! log, because the response to the append may be lost.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,26 +9,26 @@
 use crate::config_document::Document;
 use crate::platform::{LogService, PlatformResult};
 
-/// Pause between reads while a change has not shown up yet.
-const READ_AGAIN: Duration = Duration::from_millis(100);
+/// Delay between reads until the change appears in the log.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What to apply.
+/// A configuration change to apply.
 #[derive(Debug, Clone)]
 pub struct Change {
     /// Canonical text of the document.
     pub text: Arc<str>,
-    /// Drawn at random, to find the record again.
+    /// Random number that identifies the record in the log.
     pub nonce: u64,
-    /// Who applies it.
+    /// Author of the change.
     pub author: String,
-    /// How long to wait for the record to show up in the log.
+    /// How long to wait for the record to appear in the log.
     pub patience: Duration,
 }
 
-/// What became of a change, as far as is known.
+/// Outcome of a change, as far as it is known.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It is in force.
+    /// The change is in force.
     InForce {
         /// Its version.
         version: u64,
@@ -37,37 +38,39 @@
         /// Its version.
         version: u64,
     },
-    /// Another change came first; this one has no effect and never will.
+    /// Another change was appended first. This one has no effect and never will.
     LostRace {
         /// The version that came first.
         head: u64,
     },
-    /// The log gave no answer before anything was written; nothing was applied.
+    /// The change was not sent, because the log could not be read or no longer holds the
+    /// configuration in force.
     NotWritten {
         /// Cause.
         cause: String,
     },
-    /// It was sent, but the log does not show it. It may still take effect.
+    /// The change was sent but did not appear in the log in time. It may still take effect.
     Unknown {
         /// Cause.
         cause: String,
     },
 }
 
-/// Reads the log to its end. None if the log no longer tells which configuration is in force.
+/// Reads the log to its end and returns the configuration in force. Returns None if the log no
+/// longer holds it.
 pub async fn read_head(log: &dyn LogService) -> PlatformResult<Option<ConfigState>> {
-    let mut follower = Follower::default();
+    let mut follower = LogFollower::default();
     follower.catch_up(log).await?;
     Ok(follower.chain.state().cloned())
 }
 
-/// Reads the log and remembers the fates of changes.
+/// Follows the configuration chain in the log.
 #[derive(Default)]
-struct Follower {
+struct LogFollower {
     chain: ConfigChain,
 }
 
-impl Follower {
+impl LogFollower {
     async fn catch_up(&mut self, log: &dyn LogService) -> PlatformResult<Vec<SeenChange>> {
         let mut seen = Vec::new();
         loop {
@@ -81,9 +84,9 @@
     }
 }
 
-/// Applies a change on top of the head of the log.
+/// Applies a change on top of the configuration in force.
 pub async fn apply(log: &dyn LogService, change: Change) -> ApplyOutcome {
-    let mut follower = Follower::default();
+    let mut follower = LogFollower::default();
     if let Err(e) = follower.catch_up(log).await {
         let cause = e.to_string();
         return ApplyOutcome::NotWritten { cause };
@@ -104,27 +107,27 @@
         text: change.text.clone(),
         author: change.author.clone(),
     };
-    // The reply may be lost although the record was written, so it decides nothing.
+    // The response decides nothing: it may be lost although the record was written.
     let reply = log.append(record).await;
     let cause = match reply {
-        Ok(_) => "the record does not show up".to_owned(),
+        Ok(_) => "the record did not appear in the log".to_owned(),
         Err(e) => e.to_string(),
     };
-    await_fate(&mut follower, log, &change)
+    await_outcome(&mut follower, log, &change)
         .await
         .unwrap_or(ApplyOutcome::Unknown { cause })
 }
 
-async fn await_fate(
-    follower: &mut Follower,
+async fn await_outcome(
+    follower: &mut LogFollower,
     log: &dyn LogService,
     change: &Change,
 ) -> Option<ApplyOutcome> {
     let began = BootInstant::now();
     loop {
         let seen = follower.catch_up(log).await.unwrap_or_default();
-        if let Some(ours) = seen.iter().find(|s| s.nonce == change.nonce) {
-            return Some(match ours.fate {
+        if let Some(own_change) = seen.iter().find(|s| s.nonce == change.nonce) {
+            return Some(match own_change.fate {
                 ChangeFate::InForce(stamp) => ApplyOutcome::InForce {
                     version: stamp.version,
                 },
@@ -134,11 +137,11 @@
         if began.elapsed() >= change.patience {
             return None;
         }
-        ntex::time::sleep(READ_AGAIN).await;
+        ntex::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// The document in force, or the empty one.
+/// Returns the document in force, or an empty one.
 pub fn document_of(state: Option<&ConfigState>) -> Document {
     state
         .and_then(|s| Document::parse("log", &s.text).ok())
--- a/lib/src/core_thread.rs
+++ b/lib/src/core_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that runs a core: events in by rings, actions out by a router.
+//! Runs a core on its thread: events arrive through rings, and a router performs the actions.
 
 use std::thread;
 use std::time::Duration;
@@ -9,20 +9,20 @@
 use crate::ids::Now;
 use crate::ring::RingRx;
 
-/// Events taken from one ring before the next has its turn.
-const TURN: usize = 128;
+/// Maximum events taken from one ring before the next ring is polled.
+const MAX_EVENTS_PER_POLL: usize = 128;
 
 /// A deterministic state machine.
 pub trait Core {
-    /// What it is told.
+    /// Input of the state machine.
     type Event;
-    /// What it wants done.
+    /// Effect requested by the state machine.
     type Action;
 
-    /// The event that says that time has passed.
+    /// Returns the event that signals the passage of time.
     fn tick() -> Self::Event;
 
-    /// Takes in an event.
+    /// Handles an event and returns the resulting actions.
     fn handle(&mut self, now: Now, event: Self::Event) -> Vec<Self::Action>;
 }
 
@@ -52,16 +52,16 @@
     }
 }
 
-/// Whether to go on.
+/// Whether the thread continues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Go on.
+    /// Keep running.
     Continue,
     /// End the thread.
     Stop,
 }
 
-/// What an input comes to.
+/// Result of admitting an input.
 #[derive(Debug)]
 pub enum Admitted<E> {
     /// An event for the core.
@@ -72,30 +72,30 @@
     Halt,
 }
 
-/// Carries out what a core wants.
+/// Connects a core to its surroundings: admits inputs and performs actions.
 pub trait Router<C: Core> {
-    /// What comes in by the rings.
+    /// Item received from the rings.
     type Input;
 
-    /// Turns an input into an event, keeping what the answer will need.
+    /// Converts an input into an event, and stores the state needed to answer it.
     fn admit(&mut self, input: Self::Input) -> Admitted<C::Event>;
 
-    /// Carries out an action.
+    /// Performs an action.
     fn route(&mut self, action: C::Action) -> Next;
 
-    /// Called after each tick, to look at the core.
+    /// Called after each tick with read access to the core.
     fn observe(&mut self, core: &C);
 }
 
-/// Runs a core on this thread until its router says stop. The rings' wakers must unpark this
-/// thread.
+/// Runs a core on this thread until its router stops it or an input halts it. The rings' wakers
+/// must unpark this thread.
 pub fn run<C: Core, R: Router<C>>(mut core: C, mut inputs: Vec<RingRx<R::Input>>, router: &mut R) {
     let origin = BootInstant::now();
     let mut next_tick = Duration::ZERO;
     loop {
         let mut idle = true;
         for input in &mut inputs {
-            for _ in 0..TURN {
+            for _ in 0..MAX_EVENTS_PER_POLL {
                 let Some(item) = input.pop() else {
                     break;
                 };
--- a/lib/src/counters.rs
+++ b/lib/src/counters.rs
@@ -1,10 +1,10 @@
-//! Counts that a core keeps and the telemetry thread publishes.
+//! Counters kept by the entry and agent cores and published by the telemetry thread.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Counts since the start of the process.
+/// Totals since the start of the process.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counters {
     /// Jobs answered `complete`.
@@ -13,17 +13,17 @@
     pub failed: u64,
     /// Requests answered `refused`.
     pub refused: u64,
-    /// Tasks handed out.
+    /// Tasks dispatched.
     pub dispatched: u64,
-    /// Dispatches proven never to have started.
+    /// Dispatches that provably never started.
     pub not_started: u64,
-    /// Messages by kind, both ways.
+    /// Messages sent and received, by kind.
     pub messages: BTreeMap<String, u64>,
     /// Messages for tasks that led to no useful answer.
     pub wasted: u64,
 }
 
-/// Kind of the messages that only show life.
+/// Kind of messages that only show that the sender is alive.
 pub const HEARTBEAT: &str = "heartbeat";
 
 impl Counters {
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Messages that serve tasks: all but heartbeats, reports and configuration.
+    /// Returns the number of messages about tasks. Heartbeats, reports, configuration and session
+    /// setup don't count.
     pub fn task_messages(&self) -> u64 {
         const CONTROL: [&str; 6] = [HEARTBEAT, "report", "config", "hello", "welcome", "goodbye"];
         let task = self.messages.iter();
@@ -46,9 +47,9 @@
     }
 }
 
-/// Names the kind of a message in counts.
+/// Gives messages a kind under which they are counted.
 pub trait Kind {
-    /// The name.
+    /// Returns the kind.
     fn kind(&self) -> &'static str;
 }
 
--- a/lib/src/http_answer.rs
+++ b/lib/src/http_answer.rs
@@ -1,14 +1,14 @@
-//! The one mapping from answers to HTTP, as docs/PROTOCOL.md lists it.
+//! Maps answers to HTTP responses, as specified in docs/PROTOCOL.md.
 
 use ntex::http::StatusCode;
 use ntex::web::HttpResponse;
 
 use crate::job::{Answer, Failure, RefusalReason};
 
-/// Header with a fresh permit.
+/// Header that carries a new permit for the caller's next job.
 pub const NEXT_PERMIT: &str = "x-trestleknot-permit";
 
-/// Status of an answer.
+/// Returns the HTTP status of an answer.
 pub fn status_of(answer: &Answer) -> StatusCode {
     match answer {
         Answer::Complete { .. } => StatusCode::OK,
@@ -48,8 +48,8 @@
     }
 }
 
-/// The response that carries an answer. It is sent with its length, so that a cut connection
-/// is seen to be no answer.
+/// Builds the response that carries an answer. The response states its length, which lets a caller
+/// detect a truncated answer.
 pub fn response_for(answer: &Answer, next_permit: Option<&str>) -> HttpResponse {
     let mut response = HttpResponse::build(status_of(answer));
     if let Answer::Refused { refusal } = answer
--- a/lib/src/http_api.rs
+++ b/lib/src/http_api.rs
@@ -1,4 +1,4 @@
-//! HTTP for callers and operators, served by ntex workers.
+//! HTTP API for callers and operators, served by ntex workers.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -26,50 +26,50 @@
 use crate::telemetry::{MetricsPage, Report};
 use crate::trace::{SpanRecord, TRACEPARENT, TraceContext};
 
-/// Deadline of a job that names none.
+/// Deadline of a job that sets none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
-/// When to come back if the core's ring is full.
-const RING_RETRY: Duration = Duration::from_millis(200);
-/// Requests of one worker before its numbers meet those of the next.
-const REQUESTS_PER_WORKER: u64 = 1 << 48;
+/// Suggested retry delay if the core's ring is full.
+const FULL_RING_RETRY_AFTER: Duration = Duration::from_millis(200);
+/// Size of each worker's range of request ids.
+const REQUEST_IDS_PER_WORKER: u64 = 1 << 48;
 
 /// The rings of one worker.
 pub struct WorkerRings {
     /// Number of the worker.
     pub worker: u64,
-    /// To the core.
+    /// Ring to the core.
     pub asks: RingTx<EntryInput>,
-    /// To telemetry.
+    /// Ring to telemetry.
     pub reports: RingTx<Report>,
 }
 
 /// Rings for workers that have not started yet.
 pub type RingPool = Arc<Mutex<Vec<WorkerRings>>>;
 
-/// What a worker's handlers share.
+/// Connects the handlers of one worker to the core and telemetry.
 pub struct Gateway {
     asks: RefCell<RingTx<EntryInput>>,
     reports: RefCell<RingTx<Report>>,
     next_request: Cell<RequestId>,
 }
 
-/// Why the core gave no answer.
+/// Why the core did not answer a request.
 enum Unavailable {
-    /// Its ring is full: it has not seen the request.
-    NotAsked,
-    /// It has stopped: what it did with the request is not known.
-    Lost,
+    /// The core's ring is full; the core has not received the request.
+    RingFull,
+    /// The core has stopped; what it did with the request is unknown.
+    CoreStopped,
 }
 
 impl Gateway {
     /// Takes the rings of one worker from the pool.
     pub fn from_pool(pool: &RingPool) -> Rc<Self> {
         let mut pool = pool.lock().unwrap_or_else(PoisonError::into_inner);
-        let rings = pool.pop().expect("there are rings for every worker");
+        let rings = pool.pop().expect("the pool holds rings for every worker");
         Rc::new(Self {
             asks: RefCell::new(rings.asks),
             reports: RefCell::new(rings.reports),
-            next_request: Cell::new(rings.worker * REQUESTS_PER_WORKER),
+            next_request: Cell::new(rings.worker * REQUEST_IDS_PER_WORKER),
         })
     }
 
@@ -86,24 +86,24 @@
             .asks
             .borrow_mut()
             .push(EntryInput::Ask(Ask { event, reply }));
-        pushed.map_err(|_| Unavailable::NotAsked)?;
-        rx.await.map_err(|_| Unavailable::Lost)
+        pushed.map_err(|_| Unavailable::RingFull)?;
+        rx.await.map_err(|_| Unavailable::CoreStopped)
     }
 
-    fn tell(&self, event: EntryEvent) {
+    fn notify(&self, event: EntryEvent) {
         let ask = Ask { event, reply: None };
         if self.asks.borrow_mut().push(EntryInput::Ask(ask)).is_err() {
             LogEvent::new(EventCode::RingFull, "callers to core").emit();
         }
     }
 
-    /// Spans are dropped when telemetry can't follow: they are not worth holding a caller up.
+    /// Reports a span without delaying the caller. Drops the span if the ring is full.
     fn report(&self, span: SpanRecord) {
         let _ = self.reports.borrow_mut().push(Report::Span(span));
     }
 }
 
-/// Tells the core that a caller is gone if its handler is dropped before the answer.
+/// Notifies the core of a disconnected caller when the handler is dropped before the answer.
 struct CallerGuard {
     gateway: Rc<Gateway>,
     request: RequestId,
@@ -113,7 +113,7 @@
 impl Drop for CallerGuard {
     fn drop(&mut self) {
         if !self.answered {
-            self.gateway.tell(EntryEvent::CallerGone(self.request));
+            self.gateway.notify(EntryEvent::CallerGone(self.request));
         }
     }
 }
@@ -144,7 +144,7 @@
     1
 }
 
-/// SHA-256 of a team's key, in hexadecimal.
+/// Returns the SHA-256 of a team's key in hexadecimal.
 pub fn hash_key(key: &str) -> String {
     let hash = Sha256::digest(key.as_bytes());
     hash.iter().map(|b| format!("{b:02x}")).collect()
@@ -162,13 +162,13 @@
 
 fn unavailable() -> HttpResponse {
     response_for(
-        &Answer::refused_until(RefusalReason::Busy, RING_RETRY),
+        &Answer::refused_until(RefusalReason::Busy, FULL_RING_RETRY_AFTER),
         None,
     )
 }
 
-/// The answer to a submission that the core has seen and will say nothing of any more.
-fn lost() -> HttpResponse {
+/// Answers a submission that the core received but can no longer answer itself.
+fn core_stopped() -> HttpResponse {
     let answer = Answer::Failed {
         job: String::new(),
         reason: Failure::EntryStopped,
@@ -182,7 +182,7 @@
     refused(RefusalReason::Malformed { message })
 }
 
-/// `POST /v1/jobs`: submits a job and waits for its whole answer.
+/// `POST /v1/jobs`: submits a job and waits until it ends.
 async fn submit(
     req: HttpRequest,
     body: Result<Bytes, PayloadError>,
@@ -226,8 +226,8 @@
             answer,
             next_permit,
         }) => response_for(&answer, next_permit.as_deref()),
-        Err(Unavailable::NotAsked) => unavailable(),
-        Ok(_) | Err(Unavailable::Lost) => lost(),
+        Err(Unavailable::RingFull) => unavailable(),
+        Ok(_) | Err(Unavailable::CoreStopped) => core_stopped(),
     }
 }
 
@@ -274,7 +274,7 @@
     }
 }
 
-/// `GET /v1/jobs/{id}`: how far a job is.
+/// `GET /v1/jobs/{id}`: returns the progress of a job.
 async fn job_state(
     req: HttpRequest,
     id: Path<String>,
@@ -297,7 +297,7 @@
     }
 }
 
-/// `POST /v1/permits?count=N`: makes permits.
+/// `POST /v1/permits?count=N`: issues permits.
 async fn permits(
     req: HttpRequest,
     query: Query<CountQuery>,
@@ -316,7 +316,7 @@
     }
 }
 
-/// `GET /health`: whether the balancer should send callers here.
+/// `GET /health`: tells the load balancer whether to send callers to this entry.
 async fn health(gateway: State<Rc<Gateway>>) -> HttpResponse {
     let request = gateway.new_request();
     match gateway.ask(request, EntryEvent::Status(request)).await {
@@ -327,7 +327,7 @@
     }
 }
 
-/// `GET /status` on the operators' address.
+/// `GET /status` on the operators' address: returns the entry's status.
 async fn status(gateway: State<Rc<Gateway>>) -> HttpResponse {
     let request = gateway.new_request();
     match gateway.ask(request, EntryEvent::Status(request)).await {
@@ -336,7 +336,7 @@
     }
 }
 
-/// `GET /explain/{job}` on the operators' address.
+/// `GET /explain/{job}` on the operators' address: returns the history of a job.
 async fn explain(id: Path<String>, gateway: State<Rc<Gateway>>) -> HttpResponse {
     let job: JobId = match id.parse() {
         Ok(job) => job,
@@ -355,7 +355,7 @@
     page.render()
 }
 
-/// Largest request body, for the refusal that names it.
+/// Largest request body in bytes, reported when a body exceeds it.
 #[derive(Debug, Clone, Copy)]
 pub struct BodyLimit(pub usize);
 
--- a/lib/src/http_platform.rs
+++ b/lib/src/http_platform.rs
@@ -1,4 +1,4 @@
-//! The platform and the target over HTTP, by the ntex client.
+//! HTTP clients of the platform's services and of the target.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -20,37 +20,37 @@
 };
 use crate::vm_list::VmRecord;
 
-/// How long the platform may take to answer.
-const PLATFORM_LIMIT: Millis = Millis(2_000);
-/// How long a connection to the target may take.
-const LEASE_LIMIT: Millis = Millis(1_000);
-/// Longest time a task may take; leases and deadlines end it long before.
-const RUN_LIMIT: Millis = Millis(600_000);
-/// Largest answer that is read, in bytes.
-const MOST_BODY: usize = 8 * 1024 * 1024;
-/// Header that carries the trace context.
+/// Response timeout of the platform's services.
+const PLATFORM_TIMEOUT: Millis = Millis(2_000);
+/// Response timeout of lease renewals and stops at the target.
+const CONTROL_TIMEOUT: Millis = Millis(1_000);
+/// Response timeout of a run. Leases and deadlines end a run long before.
+const RUN_TIMEOUT: Millis = Millis(600_000);
+/// Largest response body accepted, in bytes.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
+/// HTTP header that carries the trace context.
 const TRACEPARENT: &str = "traceparent";
 
-/// Connections at a time. Not 0, "no limit": the pool of ntex 3.12 then never wakes a request
-/// that has waited for another connection to be made.
+/// Maximum concurrent connections. Not 0 ("no limit"): the pool of ntex 3.12 then never wakes a
+/// request that waits for another connection to be established.
 pub const MOST_CONNECTIONS: usize = 100_000;
 
-const LOG: &str = "log service";
-const LIST: &str = "VM list";
+const LOG_SERVICE: &str = "log service";
+const VM_LIST: &str = "VM list";
 
-/// Body of an append's answer.
+/// Body of the response to an append.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Appended {
-    /// Offset of the new record.
+    /// Offset of the appended record.
     pub offset: LogOffset,
 }
 
-/// Body of a start.
+/// Body of a request to start a run.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StartBody {
-    /// Name of the run, unique over all lives of all agents.
+    /// Name of the run, unique across all incarnations of all agents.
     pub run: String,
-    /// What to do.
+    /// Kind of the task.
     pub kind: String,
     /// The caller's payload.
     pub payload: String,
@@ -58,7 +58,7 @@
     pub lease_ms: u64,
 }
 
-/// Body of a renewal.
+/// Body of a lease renewal.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LeaseBody {
     /// Names of the runs.
@@ -67,44 +67,44 @@
     pub lease_ms: u64,
 }
 
-/// Body of a stop.
+/// Body of a request to stop a run.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StopBody {
     /// Name of the run.
     pub run: String,
 }
 
-/// A client that opens a connection for each request, so that none is ever sent again because
-/// a pooled connection turned out stale.
-async fn fresh_client(limit: Millis) -> Client {
+/// Builds a client that opens a new connection for each request. A request on a stale pooled
+/// connection could otherwise be sent twice.
+async fn unpooled_client(timeout: Millis) -> Client {
     let connector = Connector::new()
         .keep_alive(Seconds::ZERO)
         .limit(MOST_CONNECTIONS);
     Client::builder()
         .connector::<()>(connector)
-        .response_timeout(limit)
-        .response_payload_limit(MOST_BODY)
+        .response_timeout(timeout)
+        .response_payload_limit(MAX_RESPONSE_BYTES)
         .disable_redirects()
         .build(ntex::SharedCfg::default())
         .await
         .expect("a client without TLS can always be built")
 }
 
-/// The platform's services at one address.
+/// Client of the platform's log service and VM list.
 #[derive(Clone)]
 pub struct HttpPlatform {
     client: Client,
-    log: Rc<str>,
-    list: Rc<str>,
+    log_url: Rc<str>,
+    vm_list_url: Rc<str>,
 }
 
 impl HttpPlatform {
-    /// Services at these base addresses, such as `http://10.0.0.5:7000`.
-    pub async fn new(log: &str, list: &str) -> Self {
+    /// Creates a client for services at these base addresses, such as `http://10.0.0.5:7000`.
+    pub async fn new(log_url: &str, vm_list_url: &str) -> Self {
         Self {
-            client: fresh_client(PLATFORM_LIMIT).await,
-            log: Rc::from(log),
-            list: Rc::from(list),
+            client: unpooled_client(PLATFORM_TIMEOUT).await,
+            log_url: Rc::from(log_url),
+            vm_list_url: Rc::from(vm_list_url),
         }
     }
 
@@ -119,7 +119,7 @@
             let cause = response.status().to_string();
             return NoAnswerSnafu { service, cause }.fail();
         }
-        let body = response.body().limit(MOST_BODY).await;
+        let body = response.body().limit(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|e| no_answer(service, &e))?;
         serde_json::from_slice(&body).or_else(|e| {
             let cause = e.to_string();
@@ -128,20 +128,22 @@
     }
 
     async fn post_record(&self, record: LogRecord) -> PlatformResult<LogOffset> {
-        let url = format!("{}/v1/records", self.log);
+        let url = format!("{}/v1/records", self.log_url);
         let request = self.client.post(url).force_close();
         let sent = request.send_json(&record).await;
-        let response = sent.map_err(|e| no_answer(LOG, &e))?;
+        let response = sent.map_err(|e| no_answer(LOG_SERVICE, &e))?;
         if response.status() != StatusCode::OK {
             let cause = response.status().to_string();
             return NoAnswerSnafu {
-                service: LOG,
+                service: LOG_SERVICE,
                 cause,
             }
             .fail();
         }
         let appended = response.json::<Appended>().await;
-        appended.map(|a| a.offset).map_err(|e| no_answer(LOG, &e))
+        appended
+            .map(|a| a.offset)
+            .map_err(|e| no_answer(LOG_SERVICE, &e))
     }
 }
 
@@ -154,8 +156,8 @@
 
 impl LogService for HttpPlatform {
     fn read(&self, from: LogOffset) -> LocalBoxFuture<'_, PlatformResult<LogBatch>> {
-        let url = format!("{}/v1/records?from={from}", self.log);
-        self.get(LOG, url).boxed_local()
+        let url = format!("{}/v1/records?from={from}", self.log_url);
+        self.get(LOG_SERVICE, url).boxed_local()
     }
 
     fn append(&self, record: LogRecord) -> LocalBoxFuture<'_, PlatformResult<LogOffset>> {
@@ -165,26 +167,26 @@
 
 impl VmListService for HttpPlatform {
     fn list(&self) -> LocalBoxFuture<'_, PlatformResult<Vec<VmRecord>>> {
-        let url = format!("{}/v1/vms", self.list);
-        self.get(LIST, url).boxed_local()
+        let url = format!("{}/v1/vms", self.vm_list_url);
+        self.get(VM_LIST, url).boxed_local()
     }
 }
 
-/// The target beside an agent, at one address.
+/// Client of the target beside an agent.
 #[derive(Clone)]
 pub struct HttpTarget {
-    runs: Client,
-    leases: Client,
+    run_client: Client,
+    control_client: Client,
     url: Rc<str>,
     agent: Incarnation,
 }
 
 impl HttpTarget {
-    /// The target at a base address, used by one life of an agent.
+    /// Creates a client for the target at a base address, used by one incarnation of an agent.
     pub async fn new(url: &str, agent: Incarnation) -> Self {
         Self {
-            runs: fresh_client(RUN_LIMIT).await,
-            leases: fresh_client(LEASE_LIMIT).await,
+            run_client: unpooled_client(RUN_TIMEOUT).await,
+            control_client: unpooled_client(CONTROL_TIMEOUT).await,
             url: Rc::from(url),
             agent,
         }
@@ -202,7 +204,7 @@
             lease_ms: start.lease.as_millis() as u64,
         };
         let mut request = self
-            .runs
+            .run_client
             .post(format!("{}/v1/tasks", self.url))
             .force_close();
         if let Some(trace) = &start.trace {
@@ -210,11 +212,11 @@
         }
         let response = match request.send_json(&body).await {
             Ok(response) => response,
-            Err(e) if is_proof(&e) => return RunEnd::NotStarted,
+            Err(e) if proves_not_started(&e) => return RunEnd::NotStarted,
             Err(_) => return RunEnd::Ended(TaskOutcome::Lost),
         };
         let status = response.status();
-        let Ok(body) = response.body().limit(MOST_BODY).await else {
+        let Ok(body) = response.body().limit(MAX_RESPONSE_BYTES).await else {
             return RunEnd::Ended(TaskOutcome::Lost);
         };
         let text = String::from_utf8_lossy(&body);
@@ -222,15 +224,21 @@
     }
 
     async fn post<B: Serialize>(&self, path: &str, body: B) {
-        // Without an answer the lease lapses or the next renewal tries again.
+        // Failures are ignored: the lease lapses, or the next renewal replaces this one.
         let url = format!("{}{path}", self.url);
-        let _ = self.leases.post(url).force_close().send_json(&body).await;
+        let _ = self
+            .control_client
+            .post(url)
+            .force_close()
+            .send_json(&body)
+            .await;
     }
 }
 
-/// Only a refused connection proves that the target never saw the request. The client also
-/// says `Disconnected` of connections that broke later, so the cause decides.
-fn is_proof(error: &ClientError) -> bool {
+/// Whether an error proves that the target never received the request. Only a refused connection
+/// does. The client also reports `Disconnected` for connections that broke later, so this checks
+/// the cause.
+fn proves_not_started(error: &ClientError) -> bool {
     match error {
         ClientError::Connect(ConnectError::Disconnected(Some(cause))) => {
             cause.kind() == ErrorKind::ConnectionRefused
@@ -239,7 +247,8 @@
     }
 }
 
-/// What the target's answer means. 503 is the target's word that it did not start the task.
+/// Maps the target's response to a run's end. With 503 the target states that it did not start the
+/// task.
 fn run_end(status: StatusCode, text: &str) -> RunEnd {
     match status {
         StatusCode::OK => RunEnd::Ended(TaskOutcome::Succeeded(text.into())),
--- a/lib/src/json.rs
+++ b/lib/src/json.rs
@@ -1,13 +1,13 @@
-//! JSON with comments, with errors that name the place.
+//! Parses JSON with comments. Errors give the line, and the column or key.
 
 use jsonc_parser::ParseOptions;
 use serde::de::DeserializeOwned;
 use snafu::Snafu;
 
-/// Why a text is not what was expected.
+/// Why a text could not be parsed.
 #[derive(Debug, Snafu)]
 pub enum JsonError {
-    /// Not JSON with comments.
+    /// The text is not valid JSON with comments.
     #[snafu(display("{origin}:{line}:{column}: {message}"))]
     Syntax {
         /// The file.
@@ -16,19 +16,19 @@
         line: usize,
         /// Column, from 1.
         column: usize,
-        /// What is wrong there.
+        /// Description of the syntax error.
         message: String,
     },
-    /// JSON, but not of the expected shape.
+    /// The JSON does not match the expected type.
     #[snafu(display("{origin}:{line}: `{key}`: {source}"))]
     Shape {
         /// The file.
         origin: String,
         /// Line of the key, from 1.
         line: usize,
-        /// The key.
+        /// Path of the key.
         key: String,
-        /// What was expected.
+        /// Cause.
         source: serde_json::Error,
     },
 }
@@ -52,7 +52,7 @@
     serde_path_to_error::deserialize(value).map_err(|e| shape_error(origin, text, e))
 }
 
-/// Names the key that a shape error speaks of, and the line where it stands.
+/// Adds the key's path and line to a type error. The line is the first that contains the key.
 fn shape_error(
     origin: &str,
     text: &str,
@@ -60,13 +60,15 @@
 ) -> JsonError {
     let path = error.path().to_string();
     let source = error.into_inner();
-    let in_message = source.to_string();
-    let unknown = in_message
+    let message_text = source.to_string();
+    let unknown_field = message_text
         .strip_prefix("unknown field `")
         .and_then(|rest| rest.split('`').next());
-    let name = unknown.or(path.rsplit('.').next()).unwrap_or_default();
-    let quoted = format!("\"{name}\"");
-    let line = text.lines().position(|l| l.contains(&quoted));
+    let name = unknown_field
+        .or(path.rsplit('.').next())
+        .unwrap_or_default();
+    let quoted_name = format!("\"{name}\"");
+    let line = text.lines().position(|l| l.contains(&quoted_name));
     JsonError::Shape {
         origin: origin.to_owned(),
         line: line.map_or(1, |l| l + 1),
--- a/lib/src/log_line.rs
+++ b/lib/src/log_line.rs
@@ -1,34 +1,34 @@
-//! Lines of the processes' logs, read back: `... t=SECONDS level=LEVEL TEXT: key=value ...`.
+//! Parses the log lines of entries and agents: `... t=SECONDS level=LEVEL TEXT: key=value ...`.
 
-/// A line and the process that wrote it.
+/// A parsed log line and the process that wrote it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogLine {
-    /// Seconds since 1970.
+    /// Seconds since the Unix epoch.
     pub at: f64,
-    /// The process, as its log file is named.
+    /// Name of the process, taken from its log file.
     pub process: String,
-    /// What it wrote after the time and level.
+    /// The line after its time and level.
     pub text: String,
 }
 
-/// The value of `key=value` in a line.
+/// Returns the value of the first `key=value` pair with this key.
 pub fn value<'a>(text: &'a str, key: &str) -> Option<&'a str> {
-    let words = text.split(' ');
-    let found = words.filter_map(|word| word.split_once('='));
-    found
+    let tokens = text.split(' ');
+    let pairs = tokens.filter_map(|token| token.split_once('='));
+    pairs
         .filter(|(name, _)| *name == key)
         .map(|(_, value)| value)
         .next()
 }
 
-/// The number after `key=` in a line; 0 without one.
+/// Returns the number after `key=`, or 0 if the line has none.
 pub fn number(text: &str, key: &str) -> u64 {
     value(text, key)
         .and_then(|v| v.parse().ok())
         .unwrap_or_default()
 }
 
-/// Reads a line: `... t=SECONDS level=LEVEL TEXT`.
+/// Parses a line `... t=SECONDS level=LEVEL TEXT`.
 pub fn read_line(process: &str, line: &str) -> Option<LogLine> {
     let (_, rest) = line.split_once("t=")?;
     let (at, rest) = rest.split_once(' ')?;
--- a/lib/src/log_summary.rs
+++ b/lib/src/log_summary.rs
@@ -1,14 +1,13 @@
-//! Where a fleet's time and orders went, added up from the log lines of all processes.
+//! Summarizes the logs of all processes of a fleet.
 //!
-//! Where a request's story answers one complaint, the account answers what binds: how many batches
-//! were in time, late or refused and where they waited, how many orders found no room, and how old
-//! what an entry knew of a target was when it chose it.
+//! The summary shows the outcomes and wait times of batches, why tasks were not started, and how
+//! old an entry's load report of a target was when the entry chose that target.
 
 use std::collections::BTreeMap;
 
 use crate::log_line::{number, read_line, value};
 
-/// Values of which quantiles are wanted, in milliseconds.
+/// Durations in milliseconds, kept for computing quantiles.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Samples {
     values: Vec<u64>,
@@ -19,66 +18,66 @@
         self.values.push(value);
     }
 
-    /// The value below which this share lies; 0 without any.
-    pub fn quantile(&self, share: f64) -> u64 {
+    /// Returns the quantile at `fraction` (0 to 1), or 0 without samples.
+    pub fn quantile(&self, fraction: f64) -> u64 {
         let mut sorted = self.values.clone();
         sorted.sort_unstable();
         let last = sorted.len().saturating_sub(1);
-        let position = (last as f64 * share).round() as usize;
+        let position = (last as f64 * fraction).round() as usize;
         sorted.get(position).copied().unwrap_or_default()
     }
 }
 
-/// What became of the batches of one queue.
+/// Number of batches of one queue, by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct QueueSummary {
-    /// Taken in.
+    /// Admitted.
     pub admitted: u64,
-    /// Answered well within the objective.
+    /// Succeeded within the objective.
     pub in_time: u64,
-    /// Answered well after it.
+    /// Succeeded after the objective.
     pub late: u64,
-    /// Refused after a wait; nothing ran.
+    /// Refused after admission; nothing ran.
     pub refused: u64,
-    /// Given up or failed after something had begun.
+    /// Ended otherwise after admission: failed, cancelled or past the caller deadline.
     pub failed: u64,
 }
 
-/// See the module.
+/// Totals over the logs of all processes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LogSummary {
-    /// By queue.
+    /// Batches by queue.
     pub queues: BTreeMap<String, QueueSummary>,
     /// Batches refused on arrival, by reason.
     pub refused_on_arrival: BTreeMap<String, u64>,
     /// Tasks sent to targets.
     pub tasks_sent: u64,
-    /// Tasks that led to no run, by reason.
+    /// Runs that were not started, by reason.
     pub not_started: BTreeMap<String, u64>,
-    /// Slow runs that were stopped to go on elsewhere.
+    /// Slow runs that were stopped to move their task to another target.
     pub moved: u64,
-    /// From a batch's arrival until tasks of it were sent.
+    /// Time from a batch's arrival to each dispatch of its tasks.
     pub waited: Samples,
-    /// Age of the last word of a target when tasks were sent to it.
+    /// Age of a target's last load report when tasks were sent to it.
     pub known_for: Samples,
-    /// Lines that were dropped, for more came than a log takes.
+    /// Lines dropped because a process logged too many.
     pub dropped_lines: u64,
 }
 
 impl LogSummary {
-    /// Adds up the logs, each given with its process's name.
+    /// Summarizes logs, given as pairs of process name and content.
     pub fn of(logs: &[(String, String)]) -> Self {
-        let mut account = Self::default();
+        let mut summary = Self::default();
         for (process, log) in logs {
             for line in log.lines() {
-                account.add_line(process, line);
+                summary.add_line(process, line);
             }
         }
-        account
+        summary
     }
 
     fn add_line(&mut self, process: &str, line: &str) {
-        // The notice of dropped lines is written without a time.
+        // The line that reports dropped lines has no time.
         if value(line, "name") == Some("LinesDropped") {
             self.dropped_lines += number(line, "lines");
         } else if let Some(line) = read_line(process, line) {
@@ -113,7 +112,7 @@
     }
 
     fn admitted(&mut self, text: &str) {
-        // The same batch come again names no queue.
+        // The line of a retried batch names no queue.
         if value(text, "queue").is_some() {
             self.queue(text).admitted += 1;
         }
@@ -131,7 +130,7 @@
     }
 
     fn sent(&mut self, text: &str) {
-        // `runs=[(0, 1), (3, 1)]`: one bracket a task.
+        // `runs=[(0, 1), (3, 1)]`: one pair per task.
         let runs = text.split_once("runs=[").map_or("", |(_, rest)| rest);
         let runs = runs.split_once(']').map_or("", |(runs, _)| runs);
         self.tasks_sent += runs.matches('(').count() as u64;
@@ -140,9 +139,9 @@
     }
 }
 
-/// The reason in `answer=Refused { why: Busy, ... }`.
+/// Extracts the reason from `answer=Refused { why: Busy, ... }`.
 fn reason(text: &str) -> String {
     let after = text.split_once("why: ").map(|(_, rest)| rest);
-    let word = after.and_then(|rest| rest.split([',', ' ', '(', '}']).next());
-    word.unwrap_or("other").to_owned()
+    let variant = after.and_then(|rest| rest.split([',', ' ', '(', '}']).next());
+    variant.unwrap_or("other").to_owned()
 }
--- a/lib/src/log_writer.rs
+++ b/lib/src/log_writer.rs
@@ -1,8 +1,8 @@
-//! Log lines of the programs on the platform: one event a line on standard output, as
-//! `time level event name key=value ...`, bounded in volume and never waited for.
+//! Writes log records to standard output, one event per line:
+//! `time level event name key=value ...`.
 //!
-//! Lines are gathered and written a few times a second by a thread of their own. What comes
-//! beyond the bounds is dropped and counted; the count is a line of its own.
+//! Logging never blocks on output: a separate thread writes the buffered lines at a fixed interval.
+//! Lines beyond the buffer limit are dropped, and a separate line reports their number.
 
 use std::fmt;
 use std::fmt::Write as _;
@@ -16,16 +16,15 @@
 
 use crate::events::EventCode;
 
-/// How often lines are written.
-const WRITE_EVERY: Duration = Duration::from_millis(250);
-/// Bytes in one write at the most, so that collectors with small buffers keep lines whole.
-const MOST_CHUNK: usize = 4_096;
-/// Lines gathered between two writes at the most: a kilobyte costs processor time, and the
-/// busiest process of today's sizes writes about 150 lines in that time.
-const MOST_LINES: usize = 600;
+/// Interval between writes.
+const WRITE_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum bytes per write. Log collectors with small buffers split lines in larger writes.
+const MAX_WRITE_BYTES: usize = 4_096;
+/// Maximum lines buffered between two writes. Bounds the CPU time spent on logging.
+const MAX_BUFFERED_LINES: usize = 600;
 
 #[derive(Debug, Default)]
-struct Gathered {
+struct LineBuffer {
     text: String,
     lines: usize,
     dropped: u64,
@@ -33,94 +32,94 @@
 
 #[derive(Debug, Default)]
 struct Shared {
-    gathered: Mutex<Gathered>,
+    buffer: Mutex<LineBuffer>,
     has_lines: Condvar,
 }
 
-/// See the module.
+/// A `logforth` appender that buffers lines for its writer thread. Clones share the buffer.
 #[derive(Debug, Clone, Default)]
 pub struct LogWriter {
     shared: Arc<Shared>,
 }
 
 impl LogWriter {
-    /// Starts the thread that writes.
+    /// Starts the writer thread.
     pub fn start() -> io::Result<Self> {
         let log = Self::default();
         let shared = log.shared.clone();
-        crate::worker_threads::spawn("log", move || write_forever(&shared))?;
+        crate::worker_threads::spawn("log", move || run_writer(&shared))?;
         Ok(log)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Gathered> {
-        lock(&self.shared.gathered)
+    fn lock(&self) -> MutexGuard<'_, LineBuffer> {
+        lock(&self.shared.buffer)
     }
 
-    /// Writes what has been gathered now, for a process that is about to end.
+    /// Writes the buffered lines at once. Called before the process exits.
     pub fn write_now(&self) {
-        let gathered = std::mem::take(&mut *self.lock());
-        write_out(gathered);
+        let buffer = std::mem::take(&mut *self.lock());
+        write_lines(buffer);
     }
 }
 
-fn lock(gathered: &Mutex<Gathered>) -> MutexGuard<'_, Gathered> {
-    gathered.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(buffer: &Mutex<LineBuffer>) -> MutexGuard<'_, LineBuffer> {
+    buffer.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn write_forever(shared: &Shared) {
+fn run_writer(shared: &Shared) {
     loop {
-        let mut gathered = lock(&shared.gathered);
-        while gathered.lines == 0 {
-            let waited = shared.has_lines.wait(gathered);
-            gathered = waited.unwrap_or_else(PoisonError::into_inner);
+        let mut buffer = lock(&shared.buffer);
+        while buffer.lines == 0 {
+            let woken = shared.has_lines.wait(buffer);
+            buffer = woken.unwrap_or_else(PoisonError::into_inner);
         }
-        drop(gathered);
-        std::thread::sleep(WRITE_EVERY);
-        let gathered = std::mem::take(&mut *lock(&shared.gathered));
-        write_out(gathered);
+        drop(buffer);
+        std::thread::sleep(WRITE_INTERVAL);
+        let buffer = std::mem::take(&mut *lock(&shared.buffer));
+        write_lines(buffer);
     }
 }
 
-fn write_out(mut gathered: Gathered) {
-    if gathered.dropped > 0 {
+fn write_lines(mut buffer: LineBuffer) {
+    if buffer.dropped > 0 {
         let info = EventCode::LinesDropped.info();
-        let dropped = gathered.dropped;
+        let dropped = buffer.dropped;
         let _ = writeln!(
-            gathered.text,
+            buffer.text,
             "level=warn event={} name={:?} lines={dropped}",
             info.number, info.code
         );
     }
-    let mut rest = gathered.text.as_str();
+    let mut rest = buffer.text.as_str();
     while !rest.is_empty() {
-        let (chunk, after) = rest.split_at(end_of_chunk(rest));
-        // There is nowhere left to report a broken standard output.
+        let (chunk, after) = rest.split_at(chunk_end(rest));
+        // A failing standard output can't be reported anywhere else.
         let _ = io::stdout().lock().write_all(chunk.as_bytes());
         rest = after;
     }
 }
 
-/// Where the last whole line within a chunk ends.
-fn end_of_chunk(text: &str) -> usize {
-    let most = text.floor_char_boundary(MOST_CHUNK);
-    if most == text.len() {
-        return most;
+/// Returns the end of the last whole line that fits into one write.
+fn chunk_end(text: &str) -> usize {
+    let limit = text.floor_char_boundary(MAX_WRITE_BYTES);
+    if limit == text.len() {
+        return limit;
     }
-    text[..most].rfind('\n').map_or(most, |at| at + 1)
+    text[..limit].rfind('\n').map_or(limit, |at| at + 1)
 }
 
 impl Append for LogWriter {
     fn append(&self, record: &Record, _: &[Box<dyn Diagnostic>]) -> Result<(), logforth::Error> {
-        let mut gathered = self.lock();
-        if gathered.lines >= MOST_LINES {
-            gathered.dropped += 1;
+        let mut buffer = self.lock();
+        if buffer.lines >= MAX_BUFFERED_LINES {
+            buffer.dropped += 1;
             return Ok(());
         }
-        gathered.lines += 1;
-        let line = Line(record);
+        buffer.lines += 1;
+        let line = LineDisplay(record);
         // Writing to a string can't fail.
-        let _ = writeln!(gathered.text, "{line}");
-        if gathered.lines == 1 {
+        let _ = writeln!(buffer.text, "{line}");
+        if buffer.lines == 1 {
             self.shared.has_lines.notify_one();
         }
         Ok(())
@@ -132,15 +131,15 @@
     }
 }
 
-struct Line<'a>(&'a Record<'a>);
+struct LineDisplay<'a>(&'a Record<'a>);
 
-impl fmt::Display for Line<'_> {
+impl fmt::Display for LineDisplay<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let since_1970 = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let level = self.0.level();
-        write!(f, "t={:.3} level={level}", since_1970.as_secs_f64())?;
+        write!(f, "t={:.3} level={level}", since_epoch.as_secs_f64())?;
         write!(f, " {}", self.0.payload())
     }
 }
--- a/lib/src/memory_platform.rs
+++ b/lib/src/memory_platform.rs
@@ -1,4 +1,4 @@
-//! The platform in memory, with the faults that the real one has.
+//! In-memory implementation of the platform's services, with fault injection.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -10,17 +10,17 @@
 use crate::platform::{LogService, NoAnswerSnafu, PlatformResult, VmListService};
 use crate::vm_list::VmRecord;
 
-/// Most records that one read returns.
-const MOST_READ: usize = 500;
+/// Maximum records returned by one read.
+const MAX_READ_RECORDS: usize = 500;
 
-/// What is wrong with the log now.
+/// Injected faults of the log.
 #[derive(Debug, Clone, Default)]
 pub struct LogFaults {
-    /// It does not answer and takes nothing in.
+    /// Reads and appends fail without effect.
     pub down: bool,
-    /// Appends take effect, but their answers get lost.
+    /// Appends take effect, but their responses are lost.
     pub lose_replies: bool,
-    /// Every answer comes so late.
+    /// Delay before each request is processed.
     pub delay: Duration,
 }
 
@@ -28,12 +28,12 @@
 struct LogState {
     records: VecDeque<StoredRecord>,
     next: LogOffset,
-    kept: Option<usize>,
+    retention: Option<usize>,
     faults: LogFaults,
     appends: u64,
 }
 
-/// An append-only log with limited retention. Clones share it.
+/// An append-only log with limited retention. Clones share their state.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryLog {
     state: Arc<Mutex<LogState>>,
@@ -44,29 +44,29 @@
 }
 
 impl MemoryLog {
-    /// A log that keeps so many records.
+    /// Creates a log that retains only the newest `records` records.
     pub fn keeping(records: usize) -> Self {
         let log = Self::default();
-        lock(&log.state).kept = Some(records);
+        lock(&log.state).retention = Some(records);
         log
     }
 
-    /// Sets what is wrong from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: LogFaults) {
         lock(&self.state).faults = faults;
     }
 
-    /// What is wrong now.
+    /// Returns the injected faults.
     pub fn faults(&self) -> LogFaults {
         lock(&self.state).faults.clone()
     }
 
-    /// Appends that took effect.
+    /// Returns the number of appends that took effect.
     pub fn appends(&self) -> u64 {
         lock(&self.state).appends
     }
 
-    /// Offset that the next append gets.
+    /// Returns the offset of the next append.
     pub fn end(&self) -> LogOffset {
         lock(&self.state).next
     }
@@ -79,24 +79,24 @@
         }
     }
 
-    /// Reads at once.
+    /// Reads without the injected delay.
     pub fn read_now(&self, from: LogOffset) -> PlatformResult<LogBatch> {
         let state = lock(&self.state);
         if state.faults.down {
             return no_answer("down");
         }
-        let first = state.records.front().map_or(state.next, |r| r.offset);
-        let from = from.max(first);
+        let oldest_offset = state.records.front().map_or(state.next, |r| r.offset);
+        let from = from.max(oldest_offset);
         let records: Vec<StoredRecord> = state
             .records
             .iter()
             .filter(|r| r.offset >= from)
-            .take(MOST_READ)
+            .take(MAX_READ_RECORDS)
             .cloned()
             .collect();
         Ok(LogBatch {
             from,
-            oldest: first,
+            oldest: oldest_offset,
             next: records
                 .last()
                 .map_or(state.next.max(from), |r| r.offset + 1),
@@ -105,7 +105,7 @@
         })
     }
 
-    /// Appends at once.
+    /// Appends without the injected delay.
     pub fn append_now(&self, record: LogRecord) -> PlatformResult<LogOffset> {
         let mut state = lock(&self.state);
         if state.faults.down {
@@ -116,8 +116,8 @@
         state.appends += 1;
         let record = Some(record);
         state.records.push_back(StoredRecord { offset, record });
-        if let Some(kept) = state.kept
-            && state.records.len() > kept
+        if let Some(retention) = state.retention
+            && state.records.len() > retention
         {
             state.records.pop_front();
         }
@@ -127,7 +127,7 @@
         Ok(offset)
     }
 
-    async fn pause(&self) {
+    async fn inject_delay(&self) {
         let delay = self.faults().delay;
         if !delay.is_zero() {
             ntex::time::sleep(delay).await;
@@ -146,7 +146,7 @@
 impl LogService for MemoryLog {
     fn read(&self, from: LogOffset) -> LocalBoxFuture<'_, PlatformResult<LogBatch>> {
         async move {
-            self.pause().await;
+            self.inject_delay().await;
             self.read_now(from)
         }
         .boxed_local()
@@ -154,7 +154,7 @@
 
     fn append(&self, record: LogRecord) -> LocalBoxFuture<'_, PlatformResult<LogOffset>> {
         async move {
-            self.pause().await;
+            self.inject_delay().await;
             self.append_now(record)
         }
         .boxed_local()
@@ -167,7 +167,7 @@
     down: bool,
 }
 
-/// A list of VMs that changes only when told. Clones share it.
+/// A VM list that changes only on request. Clones share their state.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryVmList {
     state: Arc<Mutex<ListState>>,
@@ -186,12 +186,12 @@
         lock(&self.state).vms.retain(|v| &*v.name != name);
     }
 
-    /// Sets whether it answers.
+    /// Sets whether reads fail.
     pub fn set_down(&self, down: bool) {
         lock(&self.state).down = down;
     }
 
-    /// The list as it is.
+    /// Returns the current list.
     pub fn list_now(&self) -> PlatformResult<Vec<VmRecord>> {
         let state = lock(&self.state);
         if state.down {
--- a/lib/src/memory_target.rs
+++ b/lib/src/memory_target.rs
@@ -1,4 +1,4 @@
-//! A target in memory: runs tasks under leases, and can fail, straggle, throttle and stop.
+//! In-memory target that runs scripted tasks under leases, with fault injection.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,28 +14,29 @@
 use crate::job::TaskOutcome;
 use crate::platform::TargetService;
 
-/// What a payload asks of this target. Anything else is answered at once with itself.
+/// Instructions in a task's payload. A task with any other payload succeeds at once. The result is
+/// the payload itself.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct TaskScript {
-    /// How long to run, in milliseconds.
+    /// Run time in milliseconds.
     #[serde(default)]
     pub run_ms: u64,
-    /// Whether to end with an error.
+    /// Whether the task fails.
     #[serde(default)]
     pub fail: bool,
-    /// Names the task in the record of starts.
+    /// Id of the task in the [`StartRecord`]; empty if its start isn't recorded.
     #[serde(default)]
     pub id: String,
 }
 
-/// What is wrong with a target now.
+/// Injected faults of a target.
 #[derive(Debug, Clone)]
 pub struct TargetFaults {
     /// Every task fails at once.
     pub fail_all: bool,
-    /// It takes no connections.
+    /// The target starts no tasks.
     pub down: bool,
-    /// Run times are multiplied by this: stragglers, or a throttled target.
+    /// Factor on run times, to simulate stragglers or a throttled target.
     pub slowdown: f64,
 }
 
@@ -49,36 +50,36 @@
     }
 }
 
-/// Counts the starts of tasks in a whole fleet. Clones share it.
+/// Counts how often each task of a fleet was started. Clones share their state.
 #[derive(Debug, Clone, Default)]
 pub struct StartRecord {
     starts: Arc<Mutex<HashMap<String, u32>>>,
 }
 
 impl StartRecord {
-    /// Notes a start.
+    /// Records a start.
     pub fn note(&self, id: &str) {
         if !id.is_empty() {
             *lock(&self.starts).entry(id.to_owned()).or_default() += 1;
         }
     }
 
-    /// Tasks that were started more than once.
+    /// Returns the number of tasks started more than once.
     pub fn started_twice(&self) -> usize {
         lock(&self.starts).values().filter(|n| **n > 1).count()
     }
 
-    /// Whether a task was started.
+    /// Whether the task was started.
     pub fn started(&self, id: &str) -> bool {
         lock(&self.starts).contains_key(id)
     }
 
-    /// Number of tasks that were started.
+    /// Returns the number of started tasks.
     pub fn len(&self) -> usize {
         lock(&self.starts).len()
     }
 
-    /// Whether nothing was started.
+    /// Whether no task was started.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -88,7 +89,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-struct Running {
+struct ActiveRun {
     lease_until: BootInstant,
     stopped: bool,
     changed: Arc<Notify>,
@@ -97,10 +98,10 @@
 #[derive(Default)]
 struct TargetState {
     faults: TargetFaults,
-    running: HashMap<String, Running>,
+    running: HashMap<String, ActiveRun>,
 }
 
-/// A target. Clones share it.
+/// An in-memory target. Clones share their state.
 #[derive(Clone)]
 pub struct MemoryTarget {
     state: Arc<Mutex<TargetState>>,
@@ -109,7 +110,7 @@
 }
 
 impl MemoryTarget {
-    /// A target of so many slots that notes its starts in `starts`.
+    /// Creates a target that records the tasks it starts in `starts`.
     pub fn new(slots: usize, starts: StartRecord) -> Self {
         Self {
             state: Arc::default(),
@@ -118,17 +119,17 @@
         }
     }
 
-    /// Sets what is wrong from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: TargetFaults) {
         lock(&self.state).faults = faults;
     }
 
-    /// Tasks running now. This is also the usage that it reports.
+    /// Returns the number of running tasks, which is also the usage that the target reports.
     pub fn running(&self) -> usize {
         lock(&self.state).running.len()
     }
 
-    /// Ends every task at once, as the death of the target does.
+    /// Ends every task at once and starts no more, as if the target crashed.
     pub fn kill(&self) {
         let mut state = lock(&self.state);
         state.faults.down = true;
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Runs a task by the name of its run.
+    /// Runs a task under the given run name until it ends, is stopped or its lease lapses.
     pub async fn run_named(&self, run: String, payload: &str, lease: Duration) -> RunEnd {
         let script: TaskScript = serde_json::from_str(payload).unwrap_or_default();
         let Some(changed) = self.begin(&run, lease) else {
@@ -150,7 +151,7 @@
             TaskOutcome::Failed("this target fails everything".into())
         } else {
             let time = Duration::from_millis(script.run_ms).mul_f64(faults.slowdown);
-            self.pass_time(&run, time, &changed).await
+            self.wait_for_end(&run, time, &changed).await
         };
         lock(&self.state).running.remove(&run);
         RunEnd::Ended(match outcome {
@@ -167,7 +168,7 @@
             return None;
         }
         let changed = Arc::new(Notify::new());
-        let running = Running {
+        let running = ActiveRun {
             lease_until: BootInstant::now() + lease,
             stopped: false,
             changed: changed.clone(),
@@ -176,11 +177,11 @@
         Some(changed)
     }
 
-    /// Lets time pass until the task's end, a stop, or the end of its lease.
-    async fn pass_time(&self, run: &str, time: Duration, changed: &Notify) -> TaskOutcome {
+    /// Waits until the task ends, is stopped or its lease lapses.
+    async fn wait_for_end(&self, run: &str, time: Duration, changed: &Notify) -> TaskOutcome {
         let end = BootInstant::now() + time;
         loop {
-            let Some(lease_until) = self.lease_of(run) else {
+            let Some(lease_until) = self.lease_end(run) else {
                 return TaskOutcome::Lost;
             };
             let now = BootInstant::now();
@@ -190,20 +191,20 @@
             if now >= lease_until {
                 return TaskOutcome::Lost;
             }
-            let pause = end.min(lease_until) - now;
-            // The timers of ntex get coarse with length; those of tokio keep to a millisecond.
-            let _ = tokio::time::timeout(pause, changed.notified()).await;
+            let remaining = end.min(lease_until) - now;
+            // Long ntex timers are coarse; tokio's are accurate to a millisecond.
+            let _ = tokio::time::timeout(remaining, changed.notified()).await;
         }
     }
 
-    /// End of a run's lease; none if it was stopped.
-    fn lease_of(&self, run: &str) -> Option<BootInstant> {
+    /// Returns the end of a run's lease, or None if the run was stopped or has ended.
+    fn lease_end(&self, run: &str) -> Option<BootInstant> {
         let state = lock(&self.state);
         let running = state.running.get(run)?;
         (!running.stopped).then_some(running.lease_until)
     }
 
-    /// Renews leases by the names of the runs.
+    /// Renews the leases of the named runs.
     pub fn renew_named(&self, runs: &[String], lease: Duration) {
         let mut state = lock(&self.state);
         for run in runs {
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Stops a run by its name.
+    /// Stops the named run.
     pub fn stop_named(&self, run: &str) {
         if let Some(running) = lock(&self.state).running.get_mut(run) {
             running.stopped = true;
@@ -222,7 +223,7 @@
         }
     }
 
-    /// This target as seen by one life of an agent.
+    /// Returns this target as seen by one incarnation of an agent.
     pub fn for_agent(&self, agent: Incarnation) -> AgentTarget {
         AgentTarget {
             target: self.clone(),
@@ -231,7 +232,7 @@
     }
 }
 
-/// A target in memory as seen by one life of an agent.
+/// An in-memory target as seen by one incarnation of an agent.
 pub struct AgentTarget {
     target: MemoryTarget,
     agent: Incarnation,
--- a/lib/src/node_metrics.rs
+++ b/lib/src/node_metrics.rs
@@ -1,6 +1,6 @@
-//! Counters and histograms of a process on the platform, as a page in Prometheus' text format.
+//! Metrics of an entry or agent process, rendered on request in the Prometheus text format.
 //!
-//! They are counted on the thread that runs the core; the page is made when it is asked for.
+//! The thread that runs the core records all values.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,16 +12,15 @@
 
 use crate::events::EventCode;
 
-/// Bounds of the histogram of times, in milliseconds: from an agent's order to the longest
-/// deadline.
-const TIME_BOUNDS_MS: [f64; 12] = [
+/// Bucket bounds of the duration histograms, in milliseconds.
+const DURATION_BUCKETS_MS: [f64; 12] = [
     1.0, 5.0, 20.0, 50.0, 100.0, 150.0, 250.0, 400.0, 800.0, 1_500.0, 3_000.0, 6_000.0,
 ];
 
-/// See the module.
+/// The metrics of one process.
 pub struct NodeMetrics {
     registry: Registry,
-    _meters: SdkMeterProvider,
+    _meter_provider: SdkMeterProvider,
     events: Counter<u64>,
     answers: Counter<u64>,
     response_ms: Histogram<f64>,
@@ -31,17 +30,17 @@
 }
 
 impl NodeMetrics {
-    /// Figures that all stand at zero.
+    /// Creates metrics without recorded values.
     pub fn new() -> Self {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .expect("a fresh registry takes the exporter");
-        let meters = SdkMeterProvider::builder().with_reader(exporter).build();
-        let meter = meters.meter("trestleknot");
+            .expect("the exporter registers with an empty registry");
+        let meter_provider = SdkMeterProvider::builder().with_reader(exporter).build();
+        let meter = meter_provider.meter("trestleknot");
         let histogram = |name: &'static str| {
-            let bounds = TIME_BOUNDS_MS.to_vec();
+            let bounds = DURATION_BUCKETS_MS.to_vec();
             meter.f64_histogram(name).with_boundaries(bounds).build()
         };
         Self {
@@ -52,37 +51,37 @@
             link_bytes: meter.u64_gauge("trestleknot_link_bytes_sent").build(),
             levels: meter.u64_gauge("trestleknot_level").build(),
             registry,
-            _meters: meters,
+            _meter_provider: meter_provider,
         }
     }
 
-    /// Counts an event of the log catalogue.
+    /// Counts a log event.
     pub fn event(&self, code: EventCode) {
         let number = i64::from(code.info().number);
         self.events.add(1, &[KeyValue::new("event", number)]);
     }
 
-    /// Counts an answer to a caller.
+    /// Counts an answer to a caller, by its kind.
     pub fn answer(&self, kind: &'static str) {
         self.answers.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    /// Notes how long a batch took that ended well.
-    pub fn response(&self, took: Duration) {
-        self.response_ms.record(took.as_secs_f64() * 1e3, &[]);
+    /// Records the response time of a batch that succeeded.
+    pub fn response(&self, duration: Duration) {
+        self.response_ms.record(duration.as_secs_f64() * 1e3, &[]);
     }
 
-    /// Notes how long a call to the target took.
-    pub fn call(&self, took: Duration) {
-        self.run_ms.record(took.as_secs_f64() * 1e3, &[]);
+    /// Records the duration of a call to the target.
+    pub fn call(&self, duration: Duration) {
+        self.run_ms.record(duration.as_secs_f64() * 1e3, &[]);
     }
 
-    /// Sets a level.
+    /// Sets the gauge named `what`.
     pub fn level(&self, what: &'static str, value: u64) {
         self.levels.record(value, &[KeyValue::new("what", what)]);
     }
 
-    /// Sets the bytes sent on links, by what they were for.
+    /// Sets the bytes sent on links, by kind of message.
     pub fn link_bytes(&self, sent: &BTreeMap<&'static str, u64>) {
         for (kind, bytes) in sent {
             self.link_bytes
@@ -90,7 +89,7 @@
         }
     }
 
-    /// The page.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let families = self.registry.gather();
         TextEncoder::new()
--- a/lib/src/platform.rs
+++ b/lib/src/platform.rs
@@ -1,4 +1,4 @@
-//! The border to the platform and to targets: traits, implemented over HTTP and in memory.
+//! Interfaces to the platform and to targets, implemented over HTTP and in memory.
 
 use futures_util::future::LocalBoxFuture;
 use snafu::Snafu;
@@ -7,54 +7,55 @@
 use crate::config_chain::{LogBatch, LogOffset, LogRecord};
 use crate::vm_list::VmRecord;
 
-/// The platform did not do what was asked, as far as is known.
+/// A request to the platform failed, or its outcome is unknown.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(visibility(pub(crate)))]
 pub enum PlatformError {
-    /// No answer, or not in time. What was asked may have taken effect.
-    #[snafu(display("{service} gave no answer: {cause}"))]
+    /// No usable response in time. The request may have taken effect.
+    #[snafu(display("request to {service} failed: {cause}"))]
     NoAnswer {
         /// Name of the service.
         service: &'static str,
-        /// What happened instead.
+        /// Cause.
         cause: String,
     },
-    /// An answer that can't be read.
-    #[snafu(display("{service} gave an answer that can't be read: {cause}"))]
+    /// The response could not be parsed.
+    #[snafu(display("invalid response from {service}: {cause}"))]
     Unreadable {
         /// Name of the service.
         service: &'static str,
-        /// What is wrong with it.
+        /// Description of the parse error.
         cause: String,
     },
 }
 
-/// What a call to the platform comes to.
+/// Result of a request to the platform.
 pub type PlatformResult<T> = Result<T, PlatformError>;
 
-/// The append-only log.
+/// The platform's append-only log.
 pub trait LogService {
-    /// Reads records from an offset on, or from the oldest that is kept.
+    /// Reads records from an offset, or from the oldest retained record if that is later.
     fn read(&self, from: LogOffset) -> LocalBoxFuture<'_, PlatformResult<LogBatch>>;
 
-    /// Appends a record. An error does not mean that it was not appended.
+    /// Appends a record. The record may have been appended even if this returns an error.
     fn append(&self, record: LogRecord) -> LocalBoxFuture<'_, PlatformResult<LogOffset>>;
 }
 
-/// The lagging list of VMs.
+/// The platform's VM list, which may lag behind the actual state.
 pub trait VmListService {
-    /// The VMs that are live or leaving.
+    /// Returns the VMs that are live or leaving.
     fn list(&self) -> LocalBoxFuture<'_, PlatformResult<Vec<VmRecord>>>;
 }
 
 /// The target beside an agent.
 pub trait TargetService {
-    /// Runs a task to its end. [`RunEnd::NotStarted`] only on proof.
+    /// Runs a task until it ends. Returns [`RunEnd::NotStarted`] only if the task provably did not
+    /// start.
     fn run(&self, start: Start) -> LocalBoxFuture<'_, RunEnd>;
 
-    /// Renews leases.
+    /// Renews the leases of runs.
     fn renew(&self, renewal: Renewal) -> LocalBoxFuture<'_, ()>;
 
-    /// Stops a run; its end is reported by [`Self::run`].
+    /// Stops a run. [`Self::run`] then returns how it ended.
     fn stop(&self, run: RunId) -> LocalBoxFuture<'_, ()>;
 }
--- a/lib/src/platform_thread.rs
+++ b/lib/src/platform_thread.rs
@@ -14,15 +14,15 @@
 use crate::settings::EntrySettings;
 use crate::worker_threads::Factory;
 
-/// The platform as the platform thread uses it.
+/// The platform services used by an entry.
 pub struct Platform {
-    /// The log.
+    /// The append-only log.
     pub log: Rc<dyn LogService>,
-    /// The list.
+    /// The VM list.
     pub vms: Rc<dyn VmListService>,
 }
 
-/// What the core wants of the platform.
+/// A request of the core to the platform.
 pub(crate) enum PlatformCommand {
     /// Read the log from an offset.
     ReadLog(u64),
@@ -32,7 +32,7 @@
     ReadList,
 }
 
-/// The platform of the settings, over HTTP.
+/// Returns a factory for the platform at the addresses in the settings, over HTTP.
 pub fn http_platform(settings: &EntrySettings) -> Factory<Platform> {
     let log_url = settings.log_url.clone();
     let list_url = settings.vm_list_url.clone();
@@ -48,8 +48,8 @@
     })
 }
 
-/// Carries out the core's wishes towards the platform, each on its own, so that a slow one
-/// holds up no other.
+/// Runs the core's platform requests until the core drops its ring. Each request runs as a separate
+/// task, so a slow one doesn't delay the others.
 pub(crate) async fn serve_platform(
     platform: Platform,
     mut commands: RingRx<PlatformCommand>,
@@ -65,7 +65,7 @@
             ntex::rt::spawn(async move {
                 if let Some(event) = call_platform(command, &*log, &*vms).await {
                     let input = EntryInput::Ask(Ask { event, reply: None });
-                    // A lost answer counts as none: the core asks again.
+                    // A full ring drops the result; the core repeats the request.
                     let _ = events.borrow_mut().push(input);
                 }
             });
@@ -86,7 +86,7 @@
         PlatformCommand::ReadLog(from) => Some(EntryEvent::LogRead(log.read(from).await.ok())),
         PlatformCommand::ReadList => Some(EntryEvent::VmList(vms.list().await.ok())),
         PlatformCommand::Append(record) => {
-            // The fate of an append is learned by reading the log.
+            // The core learns whether the append took effect by reading the log.
             let _ = log.append(record).await;
             None
         }
--- a/lib/src/quota.rs
+++ b/lib/src/quota.rs
@@ -1,8 +1,8 @@
-//! Quotas of teams, held across entries without a coordinator.
+//! Enforces team quotas across entries without a coordinator.
 //!
-//! Each entry admits up to its share of a team's quota. Shares follow the demand that entries
-//! report to each other, so with equal views they add up to the quota; with stale views they
-//! may exceed it by what changed within one report interval.
+//! Each entry admits up to its share of a team's quota. Shares are proportional to the demand that
+//! entries report to each other. They add up to the quota if all entries know the same demand, and
+//! may exceed it by the changes of one report interval.
 
 use std::collections::HashMap;
 
@@ -10,98 +10,100 @@
 use crate::message::TeamDemand;
 
 /// How long a refused task counts as demand.
-const REFUSED_COUNTS: std::time::Duration = std::time::Duration::from_secs(2);
-/// The least part of a quota that an entry always has, as one over this.
-const LEAST_SHARE: u32 = 16;
+const REFUSED_DEMAND_WINDOW: std::time::Duration = std::time::Duration::from_secs(2);
+/// An entry's share is at least the quota divided by this.
+const MIN_SHARE_DIVISOR: u32 = 16;
 
-/// Use and demand of teams.
+/// Usage and demand of teams, at this entry and its peers.
 #[derive(Debug, Default)]
 pub struct Quotas {
-    here: HashMap<TeamName, Use>,
+    local: HashMap<TeamName, TeamUsage>,
     peers: HashMap<Incarnation, HashMap<TeamName, u32>>,
 }
 
 #[derive(Debug, Default, Clone, Copy)]
-struct Use {
+struct TeamUsage {
     in_flight: u32,
     refused: u32,
     refused_at: Now,
 }
 
-impl Use {
+impl TeamUsage {
     fn demand(&self, now: Now) -> u32 {
-        let fresh = now.saturating_sub(self.refused_at) < REFUSED_COUNTS;
-        self.in_flight + if fresh { self.refused } else { 0 }
+        let is_recent = now.saturating_sub(self.refused_at) < REFUSED_DEMAND_WINDOW;
+        self.in_flight + if is_recent { self.refused } else { 0 }
     }
 }
 
 impl Quotas {
-    /// Tasks of a team that this entry may have in flight.
+    /// Returns how many tasks of a team this entry may have in flight. `extra` counts as further
+    /// demand, for a job that isn't admitted yet.
     pub fn share(&self, team: &TeamName, quota: u32, extra: u32, now: Now) -> u32 {
-        let others: u32 = self
+        let peer_demand: u32 = self
             .peers
             .values()
             .filter_map(|teams| teams.get(team))
             .sum();
-        if others == 0 {
+        if peer_demand == 0 {
             return quota;
         }
-        let mine = self.demand(team, now) + extra;
-        let part = u64::from(quota) * u64::from(mine) / u64::from(mine + others).max(1);
-        (part as u32).max(quota / LEAST_SHARE)
+        let local_demand = self.demand(team, now) + extra;
+        let share_of_quota = u64::from(quota) * u64::from(local_demand)
+            / u64::from(local_demand + peer_demand).max(1);
+        (share_of_quota as u32).max(quota / MIN_SHARE_DIVISOR)
     }
 
-    /// Tasks of a team in flight here.
+    /// Returns the number of a team's tasks in flight at this entry.
     pub fn in_flight(&self, team: &TeamName) -> u32 {
-        self.here.get(team).map_or(0, |u| u.in_flight)
+        self.local.get(team).map_or(0, |usage| usage.in_flight)
     }
 
     fn demand(&self, team: &TeamName, now: Now) -> u32 {
-        self.here.get(team).map_or(0, |u| u.demand(now))
+        self.local.get(team).map_or(0, |usage| usage.demand(now))
     }
 
     /// Counts the tasks of an admitted job.
     pub fn admit(&mut self, team: &TeamName, tasks: u32) {
-        self.here.entry(team.clone()).or_default().in_flight += tasks;
+        self.local.entry(team.clone()).or_default().in_flight += tasks;
     }
 
-    /// Counts the tasks of a job that has ended.
+    /// Releases the tasks of a job that has ended.
     pub fn end(&mut self, team: &TeamName, tasks: u32) {
-        if let Some(u) = self.here.get_mut(team) {
-            debug_assert!(u.in_flight >= tasks, "a job ends once");
-            u.in_flight = u.in_flight.saturating_sub(tasks);
+        if let Some(usage) = self.local.get_mut(team) {
+            debug_assert!(usage.in_flight >= tasks, "a job's tasks are released twice");
+            usage.in_flight = usage.in_flight.saturating_sub(tasks);
         }
     }
 
-    /// Counts a job refused for quota as demand, so that the share can grow.
+    /// Counts a job refused for quota as demand, which lets the share grow.
     pub fn refuse(&mut self, team: &TeamName, tasks: u32, now: Now) {
-        let u = self.here.entry(team.clone()).or_default();
-        if now.saturating_sub(u.refused_at) >= REFUSED_COUNTS {
-            u.refused = 0;
-            u.refused_at = now;
+        let usage = self.local.entry(team.clone()).or_default();
+        if now.saturating_sub(usage.refused_at) >= REFUSED_DEMAND_WINDOW {
+            usage.refused = 0;
+            usage.refused_at = now;
         }
-        u.refused = u.refused.saturating_add(tasks);
+        usage.refused = usage.refused.saturating_add(tasks);
     }
 
-    /// Takes in a peer's report.
+    /// Replaces a peer's demand with its latest report.
     pub fn peer_report(&mut self, peer: Incarnation, teams: &[TeamDemand]) {
         let by_team = teams.iter().map(|t| (t.team.clone(), t.tasks)).collect();
         self.peers.insert(peer, by_team);
     }
 
-    /// Drops a peer that is gone.
+    /// Forgets the demand of a disconnected peer.
     pub fn peer_gone(&mut self, peer: Incarnation) {
         self.peers.remove(&peer);
     }
 
-    /// What to report to peers, in a fixed order.
+    /// Returns the demand to report to peers, ordered by team.
     pub fn report(&self, now: Now) -> Vec<TeamDemand> {
         let mut teams: Vec<TeamDemand> = self
-            .here
+            .local
             .iter()
-            .map(|(team, u)| TeamDemand {
+            .map(|(team, usage)| TeamDemand {
                 team: team.clone(),
-                tasks: u.demand(now),
+                tasks: usage.demand(now),
             })
             .filter(|t| t.tasks > 0)
             .collect();
--- a/lib/src/request_timeline.rs
+++ b/lib/src/request_timeline.rs
@@ -1,19 +1,18 @@
-//! What became of one request, put together from the log lines of all processes.
+//! Collects the log lines of one request from all processes and explains its outcome.
 //!
-//! A request is named by the id that its caller gave it or by its batch's id. The lines of entries
-//! and agents carry both, so a search in two steps finds them all; the story ends with the cause in
-//! words.
+//! A request is found by its request id or its batch id. The search first maps the request id to
+//! batch ids and then collects all lines that contain one of these ids.
 
 use std::collections::BTreeSet;
 
 use crate::log_line::{LogLine, number, read_line, value};
 
-/// See the module.
+/// The log lines of one request and its outcome.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestTimeline {
-    /// The lines, in order of time.
+    /// The lines, ordered by time.
     pub lines: Vec<LogLine>,
-    /// What became of the request, in words.
+    /// The outcome of the request as a sentence.
     pub verdict: String,
 }
 
@@ -22,17 +21,17 @@
 }
 
 impl RequestTimeline {
-    /// Puts a story together. `logs` gives each process's name and its log.
+    /// Builds the timeline. `logs` holds pairs of process name and log content.
     pub fn of(id: &str, logs: &[(String, String)]) -> Self {
         let mut ids = BTreeSet::from([id.to_owned()]);
         for (_, log) in logs {
-            let named = log.lines().filter(|l| value(l, "request") == Some(id));
-            ids.extend(named.filter_map(|l| value(l, "job")).map(str::to_owned));
+            let matching = log.lines().filter(|l| value(l, "request") == Some(id));
+            ids.extend(matching.filter_map(|l| value(l, "job")).map(str::to_owned));
         }
         let mut lines = Vec::new();
         for (process, log) in logs {
-            let about = log.lines().filter(|l| ids.iter().any(|id| l.contains(id)));
-            lines.extend(about.filter_map(|l| read_line(process, l)));
+            let related = log.lines().filter(|l| ids.iter().any(|id| l.contains(id)));
+            lines.extend(related.filter_map(|l| read_line(process, l)));
         }
         lines.sort_by(|a, b| a.at.total_cmp(&b.at));
         let verdict = verdict(&lines);
@@ -56,7 +55,7 @@
     let text = &answer.text;
     if text.contains("why: Evacuated") {
         return format!(
-            "refused by {process}: every target for it is in an evacuated data hall; nothing ran"
+            "refused by {process}: all suitable targets are in evacuated data halls; nothing ran"
         );
     }
     if text.starts_with("batch refused") {
@@ -69,10 +68,12 @@
         }
         Some("Succeeded") => late(lines, took, objective),
         Some("Refused") => format!(
-            "refused by {process} after {took} ms: no target had room before its slack was spent; \
-             nothing ran"
+            "refused by {process} after {took} ms: no target had free capacity before the \
+             placement deadline; nothing ran"
         ),
-        Some("GaveUp") => format!("given up by {process} after {took} ms, with tasks begun"),
+        Some("GaveUp") => {
+            format!("abandoned by {process} after {took} ms; some tasks had run")
+        }
         Some(other) => format!("answered by {process} as {other} after {took} ms"),
         None => format!("answered by {process}"),
     }
@@ -80,10 +81,10 @@
 
 fn no_answer(admitted: Option<&LogLine>) -> String {
     match admitted {
-        None => "no entry logged it: it never arrived, or its lines were dropped (event 1704)"
+        None => "not in any entry's log: it never arrived, or its lines were dropped (event 1704)"
             .to_owned(),
         Some(line) => format!(
-            "taken in by {} and never answered there: its caller left, or that process ended",
+            "admitted by {} but not answered: its caller disconnected, or that process ended",
             line.process
         ),
     }
@@ -91,12 +92,12 @@
 
 fn late(lines: &[LogLine], took: u64, objective: u64) -> String {
     let count = |start: &str| lines.iter().filter(|l| l.text.starts_with(start)).count();
-    let again = count("run over without success");
+    let failed = count("run over without success");
     let slow = count("run is far slower");
     let first_placed = lines.iter().find(|l| l.text.starts_with("tasks sent"));
     let waited = first_placed.map_or(0, |l| number(&l.text, "age_ms"));
     format!(
-        "late: {took} ms, objective {objective} ms; its first task waited {waited} ms, {again} runs \
-         ended without success, {slow} reports of slow runs"
+        "late: {took} ms, objective {objective} ms; its first task waited {waited} ms, {failed} \
+         runs ended without success, {slow} slow runs reported"
     )
 }
--- a/lib/src/ring.rs
+++ b/lib/src/ring.rs
@@ -1,7 +1,7 @@
-//! Bounded rings between threads, one producer and one consumer each.
+//! Bounded single-producer, single-consumer rings between threads.
 //!
-//! A full ring is never a silent drop: [`RingTx::push`] gives the item back, and the caller
-//! refuses, closes or retries.
+//! A full ring never drops items silently: [`RingTx::push`] returns the item, and the caller
+//! refuses the request, closes the session or retries.
 
 use std::sync::Arc;
 use std::thread::Thread;
@@ -11,11 +11,11 @@
 
 /// Wakes a consumer.
 pub trait Wake: Send + Sync {
-    /// Called after an item was pushed.
+    /// Called after each push, and when the producer is dropped.
     fn wake(&self);
 }
 
-/// Wakes a thread that parks.
+/// Wakes a parked thread.
 pub struct ThreadWaker(pub Thread);
 
 impl Wake for ThreadWaker {
@@ -24,7 +24,7 @@
     }
 }
 
-/// Wakes a task that waits for a notification.
+/// Wakes a task that awaits the notification.
 #[derive(Clone, Default)]
 pub struct TaskWaker(pub Arc<Notify>);
 
@@ -34,26 +34,26 @@
     }
 }
 
-/// The producing end.
+/// The producer of a ring.
 pub struct RingTx<T> {
-    /// Taken only when this end is dropped.
+    /// None only during `drop`.
     producer: Option<Producer<T>>,
     waker: Arc<dyn Wake>,
 }
 
-/// The consuming end.
+/// The consumer of a ring.
 pub struct RingRx<T> {
     consumer: Consumer<T>,
 }
 
-/// A ring of `capacity` items whose consumer is woken by `waker`.
+/// Creates a ring of `capacity` items whose consumer is woken by `waker`.
 pub fn ring<T>(capacity: usize, waker: Arc<dyn Wake>) -> (RingTx<T>, RingRx<T>) {
     let (producer, consumer) = RingBuffer::new(capacity);
     let producer = Some(producer);
     (RingTx { producer, waker }, RingRx { consumer })
 }
 
-/// Lets the consumer see that nothing more will come.
+/// Drops the producer before the wake, so the consumer then sees [`RingRx::is_finished`].
 impl<T> Drop for RingTx<T> {
     fn drop(&mut self) {
         drop(self.producer.take());
@@ -62,7 +62,7 @@
 }
 
 impl<T> RingTx<T> {
-    /// Adds an item and wakes the consumer, or gives the item back if there is no room.
+    /// Adds an item and wakes the consumer. Returns the item if the ring is full.
     pub fn push(&mut self, item: T) -> Result<(), T> {
         let Some(producer) = &mut self.producer else {
             return Err(item);
@@ -72,19 +72,19 @@
         pushed.map_err(|PushError::Full(item)| item)
     }
 
-    /// Whether the consumer is gone.
+    /// Whether the consumer has been dropped.
     pub fn is_abandoned(&self) -> bool {
         self.producer.as_ref().is_none_or(Producer::is_abandoned)
     }
 }
 
 impl<T> RingRx<T> {
-    /// Takes the oldest item.
+    /// Removes and returns the oldest item.
     pub fn pop(&mut self) -> Option<T> {
         self.consumer.pop().ok()
     }
 
-    /// Whether nothing more can come.
+    /// Whether the ring is empty and its producer has been dropped.
     pub fn is_finished(&self) -> bool {
         self.consumer.is_abandoned() && self.consumer.is_empty()
     }
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemons: JSON with comments, checked before anything starts.
+//! Settings of the entry and agent daemons: JSON with comments, validated at startup.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,10 +10,10 @@
 
 use crate::json::{self, JsonError};
 
-/// Why settings were not accepted.
+/// Why settings were rejected.
 #[derive(Debug, Snafu)]
 pub enum SettingsError {
-    /// The file can't be read.
+    /// The file could not be read.
     #[snafu(display("{}: {source}", path.display()))]
     Read {
         /// The file.
@@ -21,29 +21,29 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// It does not parse.
+    /// The text could not be parsed.
     #[snafu(transparent)]
     Json {
-        /// Place and cause.
+        /// Position and cause.
         source: JsonError,
     },
-    /// A value can't be.
+    /// A value is invalid or out of range.
     #[snafu(display("{origin}: `{key}` is {found}: expected {expected}"))]
     Value {
         /// The file.
         origin: String,
         /// The key.
         key: &'static str,
-        /// What stands there.
+        /// The rejected value, or a description of it.
         found: String,
-        /// What may stand there.
+        /// Description of the valid values.
         expected: &'static str,
     },
 }
 
-/// Settings that are checked beyond their shape.
+/// Settings whose values are validated after parsing.
 pub trait Checked: DeserializeOwned {
-    /// Refuses impossible values; `origin` names the file.
+    /// Rejects invalid values. `origin` names the file.
     fn check(&self, origin: &str) -> Result<(), SettingsError>;
 }
 
@@ -55,16 +55,16 @@
     pub name: String,
     /// Data hall of the VM.
     pub hall: String,
-    /// Address for callers, behind the balancer.
+    /// Listen address for callers, behind the load balancer.
     pub caller_listen: SocketAddr,
-    /// Address for agents and other entries.
+    /// Listen address for agents and other entries.
     pub agent_listen: SocketAddr,
-    /// Address for operators: status, explain, metrics.
+    /// Listen address for operators: status, explain, metrics.
     pub operator_listen: SocketAddr,
-    /// Addresses for agents of other entries known from the start.
+    /// Agent addresses of other entries that are known at startup.
     #[serde(default)]
     pub entries: Vec<SocketAddr>,
-    /// The secret that all our processes share.
+    /// Secret shared by all entries and agents of the fleet.
     pub fleet_secret: String,
     /// Base address of the log service.
     pub log_url: String,
@@ -79,11 +79,11 @@
     /// Longest drain, in milliseconds.
     #[serde(default = "default_drain_ms")]
     pub drain_limit_ms: u64,
-    /// Life of a permit, in milliseconds.
+    /// Lifetime of a permit, in milliseconds.
     #[serde(default = "default_permit_ms")]
     pub permit_life_ms: u64,
-    /// How often the configuration is written to the log again, in milliseconds; at most half
-    /// of the log's retention.
+    /// Interval at which the configuration is written to the log again, in milliseconds. At most
+    /// half of the log's retention.
     #[serde(default = "default_snapshot_ms")]
     pub snapshot_every_ms: u64,
     /// Base address of an OTLP/HTTP collector for spans.
@@ -112,7 +112,7 @@
 }
 
 impl EntrySettings {
-    /// Longest drain.
+    /// Returns the longest drain.
     pub fn drain_limit(&self) -> Duration {
         Duration::from_millis(self.drain_limit_ms)
     }
@@ -128,18 +128,18 @@
     pub hall: String,
     /// Base address of the target on this VM.
     pub target_url: String,
-    /// Tasks that the target takes at a time.
+    /// Number of tasks that the target runs concurrently.
     pub slots: u32,
     /// Memory of the target in MiB.
     pub memory_mib: u32,
     /// Accelerators of the target.
     #[serde(default)]
     pub accelerators: u32,
-    /// Addresses for agents of entries; the others are learned from these.
+    /// Agent addresses of some entries. The agent learns the others from these.
     pub entries: Vec<SocketAddr>,
-    /// The secret that all our processes share.
+    /// Secret shared by all entries and agents of the fleet.
     pub fleet_secret: String,
-    /// Address for operators: metrics.
+    /// Listen address for operators: metrics.
     pub operator_listen: SocketAddr,
     /// Longest drain, in milliseconds.
     #[serde(default = "default_drain_ms")]
@@ -149,14 +149,14 @@
     pub otlp_url: Option<String>,
 }
 
-/// Shortest fleet secret in bytes.
-const LEAST_SECRET: usize = 16;
-/// Most slots of a target.
-const MOST_SLOTS: u32 = 4_096;
+/// Minimum length of the fleet secret, in bytes.
+const MIN_SECRET_BYTES: usize = 16;
+/// Maximum slots of a target.
+const MAX_SLOTS: u32 = 4_096;
 
 fn check_secret(origin: &str, secret: &str) -> Result<(), SettingsError> {
     ensure!(
-        secret.len() >= LEAST_SECRET,
+        secret.len() >= MIN_SECRET_BYTES,
         ValueSnafu {
             origin,
             key: "fleet_secret",
@@ -169,9 +169,9 @@
 
 fn check_url(origin: &str, key: &'static str, url: &str) -> Result<(), SettingsError> {
     let address = url.strip_prefix("http://");
-    let fits = address.is_some_and(|a| a.parse::<SocketAddr>().is_ok());
+    let is_valid = address.is_some_and(|a| a.parse::<SocketAddr>().is_ok());
     ensure!(
-        fits,
+        is_valid,
         ValueSnafu {
             origin,
             key,
@@ -228,7 +228,7 @@
             check_url(origin, "otlp_url", url)?;
         }
         ensure!(
-            (1..=MOST_SLOTS).contains(&self.slots),
+            (1..=MAX_SLOTS).contains(&self.slots),
             ValueSnafu {
                 origin,
                 key: "slots",
@@ -249,13 +249,13 @@
     }
 }
 
-/// Reads and checks a file of settings.
+/// Reads, parses and validates a settings file.
 pub fn load<T: Checked>(path: &Path) -> Result<T, SettingsError> {
     let text = std::fs::read_to_string(path).context(ReadSnafu { path })?;
     parse(&path.display().to_string(), &text)
 }
 
-/// Parses and checks settings; `origin` names them in errors.
+/// Parses and validates settings. `origin` names them in errors.
 pub fn parse<T: Checked>(origin: &str, text: &str) -> Result<T, SettingsError> {
     let settings: T = json::parse(origin, text)?;
     settings.check(origin)?;
--- a/lib/src/status.rs
+++ b/lib/src/status.rs
@@ -1,4 +1,4 @@
-//! What an entry reports of itself and the fleet to operators.
+//! The status of an entry and its view of the fleet, as shown to operators.
 
 use std::sync::Arc;
 
@@ -13,27 +13,27 @@
 pub struct EntryStatus {
     /// Name from the settings.
     pub name: Arc<str>,
-    /// This life, in hexadecimal.
+    /// Incarnation of the process, in hexadecimal.
     pub incarnation: String,
-    /// Whether it is being stopped.
+    /// Whether the entry is draining.
     pub draining: bool,
-    /// Configuration held.
+    /// Configuration in force at this entry.
     pub config: ConfigStamp,
-    /// Newest configuration heard of.
+    /// Newest configuration that this entry knows of.
     pub newest_config: ConfigStamp,
-    /// Whether it admits jobs as far as the configuration goes.
+    /// Whether the configuration is current enough to admit jobs.
     pub config_current: bool,
-    /// How it places tasks.
+    /// Placement mode.
     pub placement: PlacementMode,
     /// Jobs held.
     pub jobs: u32,
-    /// Tasks that wait.
+    /// Tasks waiting for a target.
     pub waiting_tasks: u32,
     /// Names of connected entries.
     pub peers: Vec<Arc<str>>,
     /// Targets by name.
     pub targets: Vec<TargetStatus>,
-    /// Counts since the start.
+    /// Counters since the start.
     pub counters: Counters,
 }
 
@@ -42,9 +42,9 @@
 pub struct TargetStatus {
     /// Name of the VM's process.
     pub name: Arc<str>,
-    /// Data hall.
+    /// Data hall of the VM.
     pub hall: Arc<str>,
-    /// State.
+    /// State of the target.
     pub state: TargetState,
     /// Slots of the target.
     pub slots: u32,
@@ -52,7 +52,7 @@
     pub credits: u32,
     /// Tasks of this entry on it.
     pub in_flight: u32,
-    /// Observed run time over expected.
+    /// Observed run time divided by expected run time.
     pub slowness: f64,
 }
 
@@ -60,12 +60,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetState {
-    /// Gets work.
+    /// Receives work.
     Live,
-    /// Finishes what it has.
+    /// Finishes its tasks and receives no new ones.
     Leaving,
-    /// Gets nothing or single probes for its failures.
+    /// Ejected for its failures; receives single probes or nothing.
     SetAside,
-    /// No session now.
+    /// Has no session with this entry.
     Unreachable,
 }
--- a/lib/src/telemetry.rs
+++ b/lib/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! The thread that turns what other threads report into metrics and spans.
+//! The telemetry thread: records the other threads' reports as metrics and spans.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -22,36 +22,36 @@
 use crate::ring::RingRx;
 use crate::trace::{SpanRecord, TraceContext};
 
-/// Longest rest between looks at the rings.
-const REST: Duration = Duration::from_millis(100);
-/// Bounds of the histogram of response over ideal.
-const LAG_BOUNDS: [f64; 10] = [1.02, 1.05, 1.1, 1.2, 1.5, 2.0, 3.0, 5.0, 10.0, 30.0];
+/// Longest time between two polls of the rings.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Bucket bounds of the histogram of response time divided by ideal time.
+const RESPONSE_RATIO_BUCKETS: [f64; 10] = [1.02, 1.05, 1.1, 1.2, 1.5, 2.0, 3.0, 5.0, 10.0, 30.0];
 
-/// What threads report.
+/// A report from another thread.
 #[derive(Debug)]
 pub enum Report {
-    /// Counts and levels of an entry or agent, sent once a second.
+    /// Counters and gauges of an entry or agent, sent once a second.
     Levels(Box<Levels>),
-    /// How long a job took.
+    /// Response time of a job.
     Measure(Measure),
-    /// A span.
+    /// A span that has ended.
     Span(SpanRecord),
 }
 
-/// Counts since the start and levels now.
+/// Counters since the start and current gauge values.
 #[derive(Debug, Clone, Default)]
 pub struct Levels {
-    /// Counts.
+    /// Counters since the start.
     pub counters: Counters,
     /// Tasks waiting.
     pub waiting: u64,
-    /// Jobs held, or tasks running at an agent.
+    /// Jobs held by an entry, or tasks running at an agent.
     pub in_flight: u64,
-    /// Slots that may get work.
+    /// Slots open for work.
     pub slots: u64,
     /// Configuration version in force.
     pub config_version: u64,
-    /// Bytes by direction on our own links.
+    /// Bytes on the links of this process, by direction.
     pub link_bytes: BTreeMap<&'static str, u64>,
 }
 
@@ -60,7 +60,7 @@
     jobs: Counter<u64>,
     wasted: Counter<u64>,
     link_bytes: Counter<u64>,
-    lag: Histogram<f64>,
+    response_ratio: Histogram<f64>,
     waiting: Gauge<u64>,
     in_flight: Gauge<u64>,
     slots: Gauge<u64>,
@@ -74,9 +74,9 @@
             jobs: meter.u64_counter("trestleknot_jobs").build(),
             wasted: meter.u64_counter("trestleknot_messages_wasted").build(),
             link_bytes: meter.u64_counter("trestleknot_link_bytes").build(),
-            lag: meter
+            response_ratio: meter
                 .f64_histogram("trestleknot_response_over_ideal")
-                .with_boundaries(LAG_BOUNDS.to_vec())
+                .with_boundaries(RESPONSE_RATIO_BUCKETS.to_vec())
                 .build(),
             waiting: meter.u64_gauge("trestleknot_tasks_waiting").build(),
             in_flight: meter.u64_gauge("trestleknot_in_flight").build(),
@@ -85,22 +85,22 @@
         }
     }
 
-    fn set(&self, levels: &Levels, before: &Levels) {
+    fn set(&self, levels: &Levels, previous: &Levels) {
         self.waiting.record(levels.waiting, &[]);
         self.in_flight.record(levels.in_flight, &[]);
         self.slots.record(levels.slots, &[]);
         self.config_version.record(levels.config_version, &[]);
         for (kind, n) in &levels.counters.messages {
-            let old = before.counters.messages.get(kind).copied().unwrap_or(0);
+            let old = previous.counters.messages.get(kind).copied().unwrap_or(0);
             let label = KeyValue::new("kind", kind.clone());
             self.messages.add(n.saturating_sub(old), &[label]);
         }
         for (direction, n) in &levels.link_bytes {
-            let old = before.link_bytes.get(direction).copied().unwrap_or(0);
+            let old = previous.link_bytes.get(direction).copied().unwrap_or(0);
             let label = KeyValue::new("direction", *direction);
             self.link_bytes.add(n.saturating_sub(old), &[label]);
         }
-        let (new, old) = (&levels.counters, &before.counters);
+        let (new, old) = (&levels.counters, &previous.counters);
         self.add_jobs("complete", new.complete - old.complete);
         self.add_jobs("failed", new.failed - old.failed);
         self.add_jobs("refused", new.refused - old.refused);
@@ -113,40 +113,41 @@
 }
 
 thread_local! {
-    static NEXT_SPAN: Cell<Option<TraceContext>> = const { Cell::new(None) };
+    static NEXT_SPAN_CONTEXT: Cell<Option<TraceContext>> = const { Cell::new(None) };
 }
 
-/// Gives a span the ids that were already sent on with the request.
+/// Gives each span the ids in [`NEXT_SPAN_CONTEXT`], which the request has already carried
+/// downstream.
 #[derive(Debug)]
-struct GivenIds;
+struct PresetIds;
 
-impl IdGenerator for GivenIds {
+impl IdGenerator for PresetIds {
     fn new_trace_id(&self) -> TraceId {
-        TraceId::from(NEXT_SPAN.get().map_or(1, |c| c.trace_id))
+        TraceId::from(NEXT_SPAN_CONTEXT.get().map_or(1, |c| c.trace_id))
     }
 
     fn new_span_id(&self) -> SpanId {
-        SpanId::from(NEXT_SPAN.get().map_or(1, |c| c.span_id))
+        SpanId::from(NEXT_SPAN_CONTEXT.get().map_or(1, |c| c.span_id))
     }
 }
 
-/// Metrics and spans of one process.
+/// Records the metrics and exports the spans of one process.
 pub struct Telemetry {
     instruments: Instruments,
-    _meters: SdkMeterProvider,
+    _meter_provider: SdkMeterProvider,
     tracers: Option<SdkTracerProvider>,
     tracer: Option<SdkTracer>,
-    last: Levels,
+    last_levels: Levels,
 }
 
-/// Reads the metrics page.
+/// Renders the metrics of one process.
 #[derive(Clone)]
 pub struct MetricsPage {
     registry: Registry,
 }
 
 impl MetricsPage {
-    /// The page in Prometheus' text format.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let families = self.registry.gather();
         TextEncoder::new()
@@ -155,37 +156,38 @@
     }
 }
 
-/// Telemetry and the page that shows its metrics.
+/// Telemetry and the page that renders its metrics.
 pub struct TelemetryParts {
-    /// To be run on a thread of its own.
+    /// Runs on its own thread.
     pub telemetry: Telemetry,
-    /// For the operators' address.
+    /// Served on the operators' address.
     pub page: MetricsPage,
 }
 
 impl Telemetry {
-    /// Telemetry of the process `name`; spans go to `otlp`, the base address of a collector.
+    /// Builds the telemetry of the process `name`. Spans go to the collector at the base address
+    /// `otlp`, if given.
     pub fn build(name: &str, otlp: Option<&str>) -> TelemetryParts {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .expect("a new registry has no name twice");
+            .expect("the exporter registers with an empty registry");
         let resource = Resource::builder()
             .with_service_name(name.to_owned())
             .build();
-        let meters = SdkMeterProvider::builder()
+        let meter_provider = SdkMeterProvider::builder()
             .with_reader(exporter)
             .with_resource(resource.clone())
             .build();
-        let instruments = Instruments::new(&meters.meter("trestleknot"));
+        let instruments = Instruments::new(&meter_provider.meter("trestleknot"));
         let tracers = otlp.and_then(|url| tracer_provider(url, resource));
         let telemetry = Self {
             instruments,
-            _meters: meters,
+            _meter_provider: meter_provider,
             tracer: tracers.as_ref().map(|t| t.tracer("trestleknot")),
             tracers,
-            last: Levels::default(),
+            last_levels: Levels::default(),
         };
         TelemetryParts {
             telemetry,
@@ -193,31 +195,31 @@
         }
     }
 
-    /// Serves the rings until all their producers are gone.
+    /// Handles reports until all producers are dropped, then flushes the spans.
     pub fn run(mut self, mut rings: Vec<RingRx<Report>>) {
         while !rings.iter().all(RingRx::is_finished) {
             for ring in &mut rings {
                 while let Some(report) = ring.pop() {
-                    self.take_in(report);
+                    self.handle(report);
                 }
             }
-            thread::park_timeout(REST);
+            thread::park_timeout(POLL_INTERVAL);
         }
         if let Some(tracers) = &self.tracers {
             let _ = tracers.shutdown();
         }
     }
 
-    fn take_in(&mut self, report: Report) {
+    fn handle(&mut self, report: Report) {
         match report {
             Report::Levels(levels) => {
-                self.instruments.set(&levels, &self.last);
-                self.last = *levels;
+                self.instruments.set(&levels, &self.last_levels);
+                self.last_levels = *levels;
             }
             Report::Measure(measure) => {
                 let ideal = measure.ideal.as_secs_f64().max(1e-4);
                 let ratio = measure.response.as_secs_f64() / ideal;
-                self.instruments.lag.record(ratio, &[]);
+                self.instruments.response_ratio.record(ratio, &[]);
             }
             Report::Span(span) => self.export(span),
         }
@@ -231,7 +233,7 @@
         if let Some(parent) = record.parent {
             cx = cx.with_remote_span_context(span_context(parent));
         }
-        NEXT_SPAN.set(Some(record.context));
+        NEXT_SPAN_CONTEXT.set(Some(record.context));
         let mut span = tracer
             .span_builder(record.name)
             .with_kind(SpanKind::Server)
@@ -261,13 +263,13 @@
     let exporter = match exporter {
         Ok(exporter) => exporter,
         Err(e) => {
-            log::warn!("spans are not exported: {e}");
+            log::warn!("cannot build the span exporter, spans are not exported: {e}");
             return None;
         }
     };
     let provider = SdkTracerProvider::builder()
         .with_batch_exporter(exporter)
-        .with_id_generator(GivenIds)
+        .with_id_generator(PresetIds)
         .with_resource(resource)
         .build();
     Some(provider)
--- a/lib/src/trace.rs
+++ b/lib/src/trace.rs
@@ -1,4 +1,4 @@
-//! W3C trace context: which span of which trace caused a request.
+//! W3C trace context: identifies the span that caused a request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,27 +7,27 @@
 use rand::Rng as _;
 use snafu::{OptionExt as _, Snafu, ensure};
 
-/// Name of the header that carries it.
+/// HTTP header that carries the trace context.
 pub const TRACEPARENT: &str = "traceparent";
 
-/// A span within a trace.
+/// Identifies a span within a trace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TraceContext {
-    /// The trace.
+    /// Id of the trace; not 0.
     pub trace_id: u128,
-    /// The span.
+    /// Id of the span; not 0.
     pub span_id: u64,
-    /// Whether its spans are kept.
+    /// Whether the spans of the trace are recorded.
     pub sampled: bool,
 }
 
-/// A header that is no trace context.
+/// The text is not a valid trace context.
 #[derive(Debug, Snafu, PartialEq, Eq)]
-#[snafu(display("not a trace context"))]
+#[snafu(display("not a valid `traceparent` value"))]
 pub struct TraceError;
 
 impl TraceContext {
-    /// A new trace.
+    /// Starts a new trace.
     pub fn new_root() -> Self {
         Self {
             trace_id: rand::rng().random(),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A new span in the same trace.
+    /// Creates a new span in the same trace.
     pub fn child(&self) -> Self {
         Self {
             span_id: rand::rng().random(),
@@ -82,16 +82,16 @@
 /// A span that has ended.
 #[derive(Debug, Clone)]
 pub struct SpanRecord {
-    /// The hop: `entry`, `agent` or `target`.
+    /// The process that handled the request: `entry`, `agent` or `target`.
     pub name: &'static str,
-    /// Itself.
+    /// The span itself.
     pub context: TraceContext,
     /// The span that caused it.
     pub parent: Option<TraceContext>,
-    /// When it began.
+    /// Start time.
     pub start: SystemTime,
-    /// When it ended.
+    /// End time.
     pub end: SystemTime,
-    /// Details for people.
+    /// Free text for the span's `detail` attribute.
     pub detail: String,
 }
--- a/lib/src/vm_list.rs
+++ b/lib/src/vm_list.rs
@@ -1,30 +1,30 @@
-//! The platform's lagging list of VMs.
+//! Records of the platform's VM list. The list may lag behind the actual state.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// A VM on the list.
+/// A VM in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmRecord {
-    /// Name of the process on it, as in its settings.
+    /// Name of the process on the VM, as in its settings.
     pub name: Arc<str>,
-    /// What runs on it.
+    /// Role of the VM.
     pub role: VmRole,
-    /// Whether it is leaving.
+    /// State of the VM.
     pub state: VmState,
-    /// Address for agents, for an entry VM.
+    /// Address that agents connect to; set only for entries.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub agent_address: Option<String>,
 }
 
-/// What runs on a VM.
+/// Role of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmRole {
-    /// An entry.
+    /// Runs an entry.
     Entry,
-    /// A target with its agent.
+    /// Runs a target and its agent.
     Target,
 }
 
@@ -34,6 +34,6 @@
 pub enum VmState {
     /// In use.
     Live,
-    /// To be stopped soon.
+    /// About to be stopped.
     Leaving,
 }
--- a/lib/src/worker_threads.rs
+++ b/lib/src/worker_threads.rs
@@ -1,4 +1,4 @@
-//! What the daemons' threads have in common.
+//! Threads, rings and HTTP servers shared by the entry and agent daemons.
 
 use std::io;
 use std::net::TcpListener;
@@ -17,46 +17,46 @@
 use crate::ring::{RingRx, RingTx, ThreadWaker, Wake, ring};
 use crate::telemetry::{MetricsPage, Report};
 
-/// Items in a ring to a core.
+/// Capacity of a ring to a core.
 pub const CORE_RING: usize = 8_192;
-/// Items in a ring from a core.
+/// Capacity of a ring from a core.
 pub const OUT_RING: usize = 16_384;
-/// Reports in a ring to telemetry.
+/// Capacity of a ring to the telemetry thread.
 pub const REPORT_RING: usize = 4_096;
-/// How long a stopped server waits for its connections.
-const SERVER_STOP: Seconds = Seconds(5);
-/// Pause when a ring is full.
-const RING_PAUSE: Duration = Duration::from_micros(50);
+/// How long a server that shuts down waits for open connections.
+const SERVER_SHUTDOWN_TIMEOUT: Seconds = Seconds(5);
+/// Delay between pushes to a full ring.
+const FULL_RING_DELAY: Duration = Duration::from_micros(50);
 
-/// Starts a thread with a name.
+/// Spawns a named thread.
 pub fn spawn(name: &str, f: impl FnOnce() + Send + 'static) -> io::Result<JoinHandle<()>> {
     thread::Builder::new().name(name.to_owned()).spawn(f)
 }
 
-/// Wakes the thread behind a handle.
+/// Returns a waker that unparks the thread.
 fn waker_of(handle: &JoinHandle<()>) -> Arc<dyn Wake> {
     Arc::new(ThreadWaker(handle.thread().clone()))
 }
 
-/// Pushes an item, waiting while the ring is full. The item is dropped only if the consumer is
-/// gone, which ends this process's life anyway.
+/// Pushes an item, waiting while the ring is full. Drops the item only if the consumer is gone, in
+/// which case the process is ending anyway.
 pub fn push_or_wait<T>(ring: &mut RingTx<T>, item: T) {
     let mut item = item;
-    while let Err(back) = ring.push(item) {
+    while let Err(rejected) = ring.push(item) {
         if ring.is_abandoned() {
             return;
         }
-        item = back;
-        thread::sleep(RING_PAUSE);
+        item = rejected;
+        thread::sleep(FULL_RING_DELAY);
     }
 }
 
-/// Reports to telemetry; what does not fit is dropped, for it is not worth waiting for.
+/// Sends a report to telemetry without blocking. Drops the report if the ring is full.
 pub fn report(ring: &mut RingTx<Report>, report: Report) {
     let _ = ring.push(report);
 }
 
-/// Runs a future on an ntex system of this thread.
+/// Runs a future to completion on a new ntex system on this thread.
 pub fn run_system<F>(name: &str, future: F)
 where
     F: Future<Output = ()> + 'static,
@@ -68,41 +68,41 @@
     system.block_on(future);
 }
 
-/// How a server is to end.
+/// How a server shuts down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerEnd {
-    /// Let the connections finish.
+    /// Wait for open connections.
     Graceful,
-    /// Cut them.
+    /// Close open connections at once.
     Cut,
 }
 
-/// Which routes a server serves.
+/// Selects the routes of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Routes {
-    /// For callers.
+    /// Routes for callers.
     Caller,
-    /// For an entry's operators.
+    /// Routes for an entry's operators.
     Operator,
 }
 
-/// A server of an entry.
+/// Parameters of an HTTP server of an entry.
 pub struct ServerPlan {
-    /// Where it listens.
+    /// Bound listener.
     pub listener: TcpListener,
-    /// What it serves.
+    /// Routes to serve.
     pub routes: Routes,
-    /// Number of workers; the pool must hold rings for each.
+    /// Number of workers. The pool must hold rings for each of them.
     pub workers: usize,
     /// Rings for the workers.
     pub pool: RingPool,
-    /// Largest body.
+    /// Largest request body, in bytes.
     pub body_limit: usize,
-    /// Metrics.
+    /// Metrics page.
     pub page: MetricsPage,
 }
 
-/// Serves until told to end.
+/// Runs the servers until `end` resolves. A dropped sender closes open connections at once.
 pub async fn serve(plans: Vec<ServerPlan>, end: oneshot::Receiver<ServerEnd>) -> io::Result<()> {
     let mut servers = Vec::new();
     for plan in plans {
@@ -139,13 +139,13 @@
     let server = server
         .workers(workers)
         .disable_signals()
-        .shutdown_timeout(SERVER_STOP)
+        .shutdown_timeout(SERVER_SHUTDOWN_TIMEOUT)
         .listen(listener)?
         .run();
     Ok(server)
 }
 
-/// Serves an agent's metrics until told to end.
+/// Serves an agent's metrics until `end` resolves.
 pub async fn serve_metrics(
     listener: TcpListener,
     page: MetricsPage,
@@ -162,33 +162,34 @@
     Ok(())
 }
 
-/// Makes something on the thread that will use it.
+/// Constructs a value on the thread that uses it, for values that are not `Send`.
 pub type Factory<T> = Box<dyn FnOnce() -> LocalBoxFuture<'static, T> + Send>;
 
-/// A thread that takes rings. It begins its work only when its rings are known, because their
-/// wakers need its handle.
+/// A thread that consumes rings. The rings' wakers need the thread's handle, so the thread starts
+/// first and waits for its rings before it does any work.
 pub struct RingThread<T, P> {
     thread: JoinHandle<()>,
     capacity: usize,
     rings: Vec<RingRx<T>>,
-    begin: SyncSender<Begin<T, P>>,
+    inputs: SyncSender<WorkInputs<T, P>>,
 }
 
-struct Begin<T, P> {
+struct WorkInputs<T, P> {
     rings: Vec<RingRx<T>>,
     parts: P,
 }
 
 impl<T: Send + 'static, P: Send + 'static> RingThread<T, P> {
-    /// A thread that will do `work` with its rings and the parts given to [`Self::begin`].
+    /// Spawns a thread that waits for [`Self::begin`] and then runs `work` with its rings and the
+    /// parts.
     pub fn spawn(
         name: &str,
         capacity: usize,
         work: impl FnOnce(Vec<RingRx<T>>, P) + Send + 'static,
     ) -> io::Result<Self> {
-        let (begin, begun) = mpsc::sync_channel::<Begin<T, P>>(1);
+        let (inputs, inputs_rx) = mpsc::sync_channel::<WorkInputs<T, P>>(1);
         let thread = spawn(name, move || {
-            if let Ok(Begin { rings, parts }) = begun.recv() {
+            if let Ok(WorkInputs { rings, parts }) = inputs_rx.recv() {
                 work(rings, parts);
             }
         })?;
@@ -196,41 +197,41 @@
             thread,
             capacity,
             rings: Vec::new(),
-            begin,
+            inputs,
         })
     }
 
-    /// A new ring to the thread.
+    /// Creates a ring to the thread.
     pub fn ring(&mut self) -> RingTx<T> {
         let (tx, rx) = ring(self.capacity, waker_of(&self.thread));
         self.rings.push(rx);
         tx
     }
 
-    /// Lets the thread begin.
+    /// Hands over the rings and `parts`, and lets the thread start its work.
     pub fn begin(self, parts: P) -> io::Result<JoinHandle<()>> {
         let rings = self.rings;
-        let begin = Begin { rings, parts };
-        let sent = self.begin.send(begin);
-        sent.map_err(|_| io::Error::other("a thread ended before it began"))?;
+        let inputs = WorkInputs { rings, parts };
+        let sent = self.inputs.send(inputs);
+        sent.map_err(|_| io::Error::other("thread ended before it received its rings"))?;
         Ok(self.thread)
     }
 }
 
-/// The threads of a running daemon and the ring that tells its core what to do.
+/// The threads of a running daemon and the control ring to its core.
 pub struct DaemonThreads<T> {
     control: Mutex<RingTx<T>>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl<T> DaemonThreads<T> {
-    /// Threads whose core listens to `control`.
+    /// Bundles the threads with the control ring to their core.
     pub fn new(control: RingTx<T>, threads: Vec<JoinHandle<()>>) -> Self {
         let control = Mutex::new(control);
         Self { control, threads }
     }
 
-    /// Tells the core something.
+    /// Sends an input to the core, waiting while the ring is full.
     pub fn send(&self, input: T) {
         let mut control = self.control.lock().unwrap_or_else(PoisonError::into_inner);
         push_or_wait(&mut control, input);
@@ -241,7 +242,7 @@
         self.threads.iter().all(JoinHandle::is_finished)
     }
 
-    /// Waits for the end. The control ring stays until the core has ended.
+    /// Waits until all threads have ended. Keeps the control ring open until then.
     pub fn join(self) {
         for thread in self.threads {
             let _ = thread.join();
