--- a/cli/src/args.rs
+++ b/cli/src/args.rs
@@ -1,4 +1,4 @@
-//! What can be said on the command line.
+//! Definition of the command line.
 
 use std::io;
 use std::path::PathBuf;
@@ -10,7 +10,7 @@
 
 use crate::error::CliResult;
 
-/// The whole command line.
+/// Builds the command line with all subcommands.
 pub fn command() -> Command {
     Command::new("trestleknot")
         .version(env!("CARGO_PKG_VERSION"))
--- a/cli/src/daemons.rs
+++ b/cli/src/daemons.rs
@@ -1,4 +1,4 @@
-//! The daemons as subcommands: settings in, threads started, signals obeyed.
+//! The commands `entry`, `agent` and `stand-ins`, which run until a signal stops them.
 
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
@@ -20,17 +20,17 @@
 
 use crate::error::{CliResult, SystemSnafu};
 
-/// Records that the stand-in of the log keeps.
-const LOG_KEEPS: usize = 10_000;
-/// How often a stopping daemon is looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Number of records that the log stand-in retains.
+const LOG_CAPACITY: usize = 10_000;
+/// How often signals and the daemon's end are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 fn settings_path(args: &ArgMatches) -> PathBuf {
     let path = args.get_one::<PathBuf>("settings");
-    path.expect("clap demands it").clone()
+    path.expect("clap requires it").clone()
 }
 
-/// A daemon that can be told to stop.
+/// A daemon that can drain before it stops.
 trait Daemon {
     fn drain(&self);
     fn is_finished(&self) -> bool;
@@ -56,7 +56,7 @@
     }
 }
 
-/// The first signal drains, a second one stops at once.
+/// Runs a daemon until it finishes. The first signal drains it and a second one stops it at once.
 fn run_until_stopped(daemon: &impl Daemon) -> CliResult<ExitCode> {
     let mut signals = Signals::new([SIGTERM, SIGINT]).context(SystemSnafu { what: "signals" })?;
     let mut draining = false;
@@ -71,7 +71,7 @@
         if daemon.is_finished() {
             return Ok(ExitCode::SUCCESS);
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -104,14 +104,14 @@
     run_until_stopped(&daemon)
 }
 
-/// Runs stand-ins until a signal comes.
+/// Runs stand-ins until a signal arrives.
 pub fn stand_ins(args: &ArgMatches) -> CliResult<ExitCode> {
     let base = *args.get_one::<u16>("base-port").expect("has a default");
     let targets = *args.get_one::<u16>("targets").expect("has a default");
     let slots = *args.get_one::<u32>("slots").expect("has a default") as usize;
     let starts = StartRecord::default();
     let mut services = vec![
-        Service::Log(MemoryLog::keeping(LOG_KEEPS)),
+        Service::Log(MemoryLog::keeping(LOG_CAPACITY)),
         Service::VmList(MemoryVmList::default()),
     ];
     let new_target = || Service::Target(MemoryTarget::new(slots, starts.clone()));
--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -1,4 +1,5 @@
-//! The whole path in one process: real daemons on stand-ins, real jobs, and failures half-way.
+//! The command `demo`, which runs a fleet on stand-ins in one process, submits jobs and kills an
+//! entry and a target half-way.
 
 use std::cell::RefCell;
 use std::io::{IsTerminal as _, Write as _};
@@ -19,16 +20,16 @@
 use crate::client::block_on;
 use crate::error::{CliResult, SystemSnafu};
 
-/// Part of the slots that the load keeps busy.
-const LOAD: f64 = 0.6;
-/// How often the live table is drawn.
-const DRAW_EVERY: Duration = Duration::from_millis(500);
-/// Entry that is killed half-way.
+/// Fraction of the slots that the load keeps busy.
+const UTILIZATION: f64 = 0.6;
+/// How often the status line is drawn.
+const REDRAW_INTERVAL: Duration = Duration::from_millis(500);
+/// Index of the entry that is killed half-way.
 const KILLED_ENTRY: usize = 2;
-/// Target that is killed half-way.
+/// Index of the target that is killed half-way.
 const KILLED_TARGET: usize = 7;
 
-fn plan() -> FleetPlan {
+fn fleet_plan() -> FleetPlan {
     let team = |name: &str| TeamPlan {
         name: name.to_owned(),
         key: format!("{name}-key"),
@@ -45,86 +46,86 @@
     }
 }
 
-/// Runs the demo. Exit code 0 only if every promise that it can check held.
+/// Runs the demo. Exits with 0 only if no checked invariant is violated.
 pub fn run(args: &ArgMatches) -> CliResult<ExitCode> {
     let seconds = *args.get_one::<u64>("seconds").expect("has a default");
     let seed = *args.get_one::<u64>("seed").expect("has a default");
     let length = Duration::from_secs(seconds);
-    let fleet = Fleet::start(plan()).context(SystemSnafu { what: "starting" })?;
+    let fleet = Fleet::start(fleet_plan()).context(SystemSnafu { what: "starting" })?;
     println!("{ENTRIES} entries, {TARGETS} targets of {SLOTS} slots in 3 data halls");
-    let (fleet, records, statuses) = block_on(drive(fleet, length, seed));
+    let (fleet, records, statuses) = block_on(run_load(fleet, length, seed));
     let slots = fleet.slots();
     let starts = fleet.starts.clone();
     let stop = fleet.stop();
     let summary = Summary::of(&records, slots, &starts);
     print_summary(&summary, &statuses, stop.took);
-    let broken = broken_promises(&records, &summary, &starts);
-    for promise in &broken {
-        println!("BROKEN: {promise}");
+    let violations = violated_invariants(&records, &summary, &starts);
+    for invariant in &violations {
+        println!("VIOLATED: {invariant}");
     }
-    Ok(if broken.is_empty() {
-        println!("every promise that this demo can check held");
+    Ok(if violations.is_empty() {
+        println!("all checked invariants held");
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     })
 }
 
-/// The fleet after the load, what callers heard, and what its entries say of themselves.
-type Driven = (Fleet, Vec<JobRecord>, Vec<EntryStatus>);
+/// The fleet after the load, the callers' records and the entries' statuses.
+type DemoRun = (Fleet, Vec<JobRecord>, Vec<EntryStatus>);
 
-async fn drive(fleet: Fleet, length: Duration, seed: u64) -> Driven {
-    let began = BootInstant::now();
+async fn run_load(fleet: Fleet, length: Duration, seed: u64) -> DemoRun {
+    let started_at = BootInstant::now();
     scenario::settle(&fleet).await;
     println!(
         "every target connected after {} ms",
-        began.elapsed().as_millis()
+        started_at.elapsed().as_millis()
     );
     let load = Load {
         shape: Shape::Mixed,
-        slots: f64::from(SLOTS) * TARGETS as f64 * LOAD,
+        slots: f64::from(SLOTS) * TARGETS as f64 * UTILIZATION,
         length,
         keys: vec!["nile-crescent-key".to_owned(), "taquari-key".to_owned()],
         seed,
     };
     let addresses = Rc::new(RefCell::new(fleet.caller_addresses()));
-    let chosen = addresses.clone();
-    // The balancer: callers in turn to the entries that it knows to be there.
-    let choose = Rc::new(move |index: usize| {
-        let live = chosen.borrow();
+    let live_addresses = addresses.clone();
+    // Acts as the load balancer: distributes callers round-robin over the live entries.
+    let pick_address = Rc::new(move |index: usize| {
+        let live = live_addresses.borrow();
         live[index % live.len()]
     });
-    let submitting = ntex::rt::spawn(caller::submit_all(load.jobs(), choose));
-    let fleet = break_things(fleet, length, &addresses).await;
+    let submitting = ntex::rt::spawn(caller::submit_all(load.jobs(), pick_address));
+    let fleet = kill_half_way(fleet, length, &addresses).await;
     let records = submitting.await.unwrap_or_default();
     let statuses = scenario::statuses_of(&fleet).await;
     (fleet, records, statuses)
 }
 
-/// Draws the live table and kills an entry and a target half-way.
-async fn break_things(
+/// Draws the status line and kills an entry and a target half-way.
+async fn kill_half_way(
     mut fleet: Fleet,
     length: Duration,
     addresses: &Rc<RefCell<Vec<std::net::SocketAddr>>>,
 ) -> Fleet {
-    let began = BootInstant::now();
-    let mut broken = false;
-    while began.elapsed() < length {
-        ntex::time::sleep(DRAW_EVERY).await;
-        if !broken && began.elapsed() >= length / 2 {
-            broken = true;
+    let started_at = BootInstant::now();
+    let mut has_killed = false;
+    while started_at.elapsed() < length {
+        ntex::time::sleep(REDRAW_INTERVAL).await;
+        if !has_killed && started_at.elapsed() >= length / 2 {
+            has_killed = true;
             println!("\nkilling entry-{KILLED_ENTRY} and target-{KILLED_TARGET}");
             fleet.kill_entry(KILLED_ENTRY);
             fleet.kill_target(KILLED_TARGET);
             *addresses.borrow_mut() = fleet.caller_addresses();
         }
-        draw(began.elapsed(), &scenario::statuses_of(&fleet).await);
+        draw_status(started_at.elapsed(), &scenario::statuses_of(&fleet).await);
     }
     println!();
     fleet
 }
 
-fn draw(at: Duration, statuses: &[EntryStatus]) {
+fn draw_status(at: Duration, statuses: &[EntryStatus]) {
     let sum = |f: fn(&EntryStatus) -> u64| statuses.iter().map(f).sum::<u64>();
     let line = format!(
         "{:>5.1} s  entries {}  jobs held {:>3}  waiting {:>4}  complete {:>5}  failed {:>3}  refused {:>3}",
@@ -142,43 +143,46 @@
     } else {
         writeln!(out, "{line}")
     };
-    // A closed output does not stop the demo; its exit code still tells.
+    // The demo continues if the output is closed because the exit code still tells the result.
     drop(ended);
 }
 
 fn print_summary(summary: &Summary, statuses: &[EntryStatus], stop: Duration) {
     println!("\n{summary}");
     let wasted: u64 = statuses.iter().map(|s| s.counters.wasted).sum();
-    let all: u64 = statuses.iter().map(|s| s.counters.task_messages()).sum();
-    let part = 100.0 * wasted as f64 / all.max(1) as f64;
-    println!("wasted messages       {wasted} of {all} ({part:.2}%)");
+    let total: u64 = statuses.iter().map(|s| s.counters.task_messages()).sum();
+    let percent = 100.0 * wasted as f64 / total.max(1) as f64;
+    println!("wasted messages       {wasted} of {total} ({percent:.2}%)");
     println!("planned stop took     {} ms", stop.as_millis());
 }
 
-/// Checks what can be seen from outside.
-fn broken_promises(
+/// Returns the invariants that the callers' and targets' records show to be violated.
+fn violated_invariants(
     records: &[JobRecord],
     summary: &Summary,
     starts: &trestleknot_lib::memory_target::StartRecord,
 ) -> Vec<String> {
-    let mut broken = Vec::new();
-    let mut check = |held: bool, promise: &str| {
+    let mut violations = Vec::new();
+    let mut check = |held: bool, invariant: &str| {
         if !held {
-            broken.push(promise.to_owned());
+            violations.push(invariant.to_owned());
         }
     };
     check(summary.started_twice == 0, "no task starts twice");
     check(
         summary.wrong == 0,
-        "an answer is whole and the caller's own",
+        "every answer is complete and belongs to its caller",
     );
     let false_refusals = records.iter().filter(|r| scenario::is_false(r, starts));
     check(
         false_refusals.count() == 0,
-        "a refusal says truly that nothing ran",
+        "no refusal falsely states that nothing ran",
     );
     check(summary.complete > 0, "jobs complete");
-    let cut = summary.nothing as f64 / summary.jobs.max(1) as f64;
-    check(cut < 0.1, "only callers of the killed entry are cut off");
-    broken
+    let unanswered = summary.nothing as f64 / summary.jobs.max(1) as f64;
+    check(
+        unanswered < 0.1,
+        "less than a tenth of the jobs get no answer",
+    );
+    violations
 }
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the command line and the exit codes that they lead to.
+//! Errors of the commands and their exit codes.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,36 +7,36 @@
 use trestleknot_lib::config_document::DocumentError;
 use trestleknot_lib::settings::SettingsError;
 
-/// What a command comes to.
+/// Result of a command.
 pub type CliResult<T> = Result<T, CliError>;
 
-/// Exit code for a file or argument that is wrong.
+/// Exit code for an invalid file or argument.
 pub const BAD_INPUT: u8 = 2;
-/// Exit code for a change that lost its race.
+/// Exit code for a change that was not applied because another change came first.
 pub const LOST_RACE: u8 = 3;
-/// Exit code for an outcome that is not known.
-pub const UNKNOWN: u8 = 4;
+/// Exit code for a change that may or may not have been applied.
+pub const UNKNOWN_OUTCOME: u8 = 4;
 
-/// Why a command did not do what it was asked.
+/// Why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CliError {
-    /// Settings were not accepted.
+    /// The settings were rejected.
     #[snafu(transparent)]
     Settings {
-        /// Place and cause.
+        /// Position and cause.
         source: SettingsError,
     },
-    /// The platform's settings were not accepted.
+    /// The platform's settings were rejected.
     #[snafu(transparent)]
     PlatformSettings {
-        /// Place and cause.
+        /// Position and cause.
         source: platform::settings::SettingsError,
     },
-    /// A configuration was not accepted.
+    /// The configuration was rejected.
     #[snafu(transparent)]
     Document {
-        /// Place and cause.
+        /// Position and cause.
         source: DocumentError,
     },
     /// A file can't be read.
@@ -47,10 +47,10 @@
         /// Cause.
         source: std::io::Error,
     },
-    /// A thread, socket or signal can't be had.
+    /// An operating system call failed.
     #[snafu(display("{what}: {source}"))]
     System {
-        /// What was tried.
+        /// The failed operation.
         what: String,
         /// Cause.
         source: std::io::Error,
@@ -58,15 +58,15 @@
     /// A server gave no usable answer.
     #[snafu(display("{url}: {cause}"))]
     NoAnswer {
-        /// The server.
+        /// URL of the request.
         url: String,
-        /// What happened.
+        /// Cause.
         cause: String,
     },
     /// A change was not applied.
     #[snafu(display("{message}"))]
     NotApplied {
-        /// What became of it.
+        /// Outcome of the change.
         message: String,
         /// Exit code.
         code: u8,
@@ -74,7 +74,7 @@
 }
 
 impl CliError {
-    /// The exit code for this error.
+    /// Returns the exit code for this error.
     pub fn exit_code(&self) -> ExitCode {
         match self {
             Self::Settings { .. }
--- a/cli/src/fleet_status.rs
+++ b/cli/src/fleet_status.rs
@@ -1,4 +1,4 @@
-//! `status` and `explain`.
+//! The commands `status` and `explain`.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -16,37 +16,38 @@
 
 fn addresses(args: &ArgMatches) -> Vec<String> {
     let entries = args.get_many::<String>("entry");
-    entries.expect("clap demands it").cloned().collect()
+    entries.expect("clap requires it").cloned().collect()
 }
 
-/// What an entry said of itself, or why it said nothing.
+/// Status of an entry, or the error of the request for it.
 struct EntryReport {
     address: String,
     status: CliResult<EntryStatus>,
 }
 
-/// Shows the fleet as its entries see it. Fails if any entry does not answer or is behind.
+/// Prints the status of the fleet. Fails if an entry does not answer or its configuration is not
+/// current.
 pub fn status(args: &ArgMatches) -> CliResult<ExitCode> {
-    let reports = ask_all(addresses(args));
-    let all_well = reports.iter().all(|r| is_well(&r.status));
+    let reports = request_statuses(addresses(args));
+    let all_current = reports.iter().all(|r| is_current(&r.status));
     if args.get_flag("json") {
         print_json(&reports);
     } else {
         anstream::println!("{}", entry_table(&reports));
         anstream::println!("{}", target_table(&reports));
     }
-    Ok(if all_well {
+    Ok(if all_current {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
     })
 }
 
-fn is_well(status: &CliResult<EntryStatus>) -> bool {
+fn is_current(status: &CliResult<EntryStatus>) -> bool {
     status.as_ref().is_ok_and(|s| s.config_current)
 }
 
-fn ask_all(addresses: Vec<String>) -> Vec<EntryReport> {
+fn request_statuses(addresses: Vec<String>) -> Vec<EntryReport> {
     block_on(async move {
         let client = new_client().await;
         let mut reports = Vec::new();
@@ -66,7 +67,7 @@
             Err(e) => serde_json::json!({ "address": report.address, "error": e.to_string() }),
         })
         .collect();
-    let text = serde_json::to_string_pretty(&entries).expect("a status can be written");
+    let text = serde_json::to_string_pretty(&entries).expect("a status always serializes");
     anstream::println!("{text}");
 }
 
@@ -123,7 +124,8 @@
     ]
 }
 
-/// Targets as the first entry that answers sees them, with the tasks of all entries.
+/// Builds the table of targets from the first entry that answered. The running tasks are summed
+/// over all entries.
 fn target_table(reports: &[EntryReport]) -> Table {
     let mut table = new_table(&["target", "hall", "state", "slots", "running", "slowness"]);
     let statuses: Vec<&EntryStatus> = reports
@@ -134,8 +136,8 @@
         return table;
     };
     for target in &first.targets {
-        let of_name = statuses.iter().flat_map(|s| &s.targets);
-        let running: u32 = of_name
+        let of_all_entries = statuses.iter().flat_map(|s| &s.targets);
+        let running: u32 = of_all_entries
             .filter(|t| t.name == target.name)
             .map(|t| t.in_flight)
             .sum();
@@ -164,48 +166,48 @@
     }
 }
 
-/// Shows what happened to a job, asking entries until one knows it.
+/// Prints the timeline of a job. Asks the entries in order until one knows the job.
 pub fn explain(args: &ArgMatches) -> CliResult<ExitCode> {
     let job = args
         .get_one::<String>("job")
-        .expect("clap demands it")
+        .expect("clap requires it")
         .clone();
     if let Some(folder) = args.get_one::<PathBuf>("logs") {
         return explain_from_logs(folder, &job);
     }
     let entries = addresses(args);
-    let story = block_on(async move {
+    let timeline = block_on(async move {
         let client = new_client().await;
-        let mut last = no_answer(&job, "no entry was asked".to_owned());
+        let mut result = no_answer(&job, "no entry was asked".to_owned());
         for address in entries {
-            last =
+            result =
                 get_json::<JobTimeline>(&client, &format!("http://{address}/explain/{job}")).await;
-            if last.is_ok() {
+            if result.is_ok() {
                 break;
             }
         }
-        last
+        result
     })?;
     if args.get_flag("json") {
-        let text = serde_json::to_string_pretty(&story).expect("a story can be written");
+        let text = serde_json::to_string_pretty(&timeline).expect("a timeline always serializes");
         anstream::println!("{text}");
     } else {
-        print_story(&story);
+        print_timeline(&timeline);
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn print_story(story: &JobTimeline) {
-    anstream::println!("team {}", story.team);
-    for step in &story.steps {
-        anstream::println!("{}", step_line(step));
+fn print_timeline(timeline: &JobTimeline) {
+    anstream::println!("team {}", timeline.team);
+    for step in &timeline.steps {
+        anstream::println!("{}", format_step(step));
     }
-    if story.left_out > 0 {
-        anstream::println!("({} more steps)", story.left_out);
+    if timeline.left_out > 0 {
+        anstream::println!("({} more steps)", timeline.left_out);
     }
 }
 
-fn step_line(step: &Step) -> String {
+fn format_step(step: &Step) -> String {
     let what = match &step.what {
         StepKind::Admitted { tasks, estimate_ms } => {
             format!("admitted with {tasks} tasks, expected to take {estimate_ms} ms")
@@ -227,12 +229,12 @@
     format!("{:>7} ms  {what}", step.at_ms)
 }
 
-/// Tells a request's story from the log files of a folder.
+/// Prints the timeline of a request from the log files of a folder.
 fn explain_from_logs(folder: &Path, id: &str) -> CliResult<ExitCode> {
-    let story = RequestTimeline::of(id, &read_logs(folder)?);
-    for line in &story.lines {
+    let timeline = RequestTimeline::of(id, &read_logs(folder)?);
+    for line in &timeline.lines {
         anstream::println!("{:.3} {} {}", line.at, line.process, line.text);
     }
-    anstream::println!("{id}: {}", story.verdict);
+    anstream::println!("{id}: {}", timeline.verdict);
     Ok(ExitCode::SUCCESS)
 }
--- a/cli/src/log_files.rs
+++ b/cli/src/log_files.rs
@@ -1,4 +1,4 @@
-//! Log files of a fleet, collected into a folder, one a process.
+//! Reads a folder of log files with one file per process.
 
 use std::fs;
 use std::path::Path;
@@ -7,7 +7,7 @@
 
 use crate::error::{CliResult, ReadFileSnafu};
 
-/// The logs of a folder, each with the name of its process.
+/// Returns the name of each process and its log.
 pub fn read_logs(folder: &Path) -> CliResult<Vec<(String, String)>> {
     let mut logs = Vec::new();
     let files = fs::read_dir(folder).context(ReadFileSnafu { path: folder })?;
--- a/cli/src/log_summary.rs
+++ b/cli/src/log_summary.rs
@@ -1,4 +1,4 @@
-//! `account`.
+//! The command `account`, which summarizes log files.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,39 +11,39 @@
 use crate::error::CliResult;
 use crate::log_files::read_logs;
 
-/// Adds up the logs of a folder.
+/// Prints a summary of the log files of a folder.
 pub fn account(args: &ArgMatches) -> CliResult<ExitCode> {
-    let folder = args.get_one::<PathBuf>("logs").expect("clap demands it");
-    let account = LogSummary::of(&read_logs(folder)?);
-    anstream::println!("{}", queues(&account));
-    for (reason, batches) in &account.refused_on_arrival {
+    let folder = args.get_one::<PathBuf>("logs").expect("clap requires it");
+    let summary = LogSummary::of(&read_logs(folder)?);
+    anstream::println!("{}", queue_table(&summary));
+    for (reason, batches) in &summary.refused_on_arrival {
         anstream::println!("refused on arrival, {reason}: {batches}");
     }
-    anstream::println!("tasks sent to targets: {}", account.tasks_sent);
-    for (reason, tasks) in &account.not_started {
+    anstream::println!("tasks sent to targets: {}", summary.tasks_sent);
+    for (reason, tasks) in &summary.not_started {
         anstream::println!("  of these not started, {reason}: {tasks}");
     }
-    anstream::println!("slow runs moved: {}", account.moved);
-    anstream::println!("waited before an order: {}", quantiles(&account.waited));
-    anstream::println!("age of what was known: {}", quantiles(&account.known_for));
-    if account.dropped_lines > 0 {
-        let lines = account.dropped_lines;
+    anstream::println!("slow runs moved: {}", summary.moved);
+    anstream::println!("waited before an order: {}", quantiles(&summary.waited));
+    anstream::println!("age of what was known: {}", quantiles(&summary.known_for));
+    if summary.dropped_lines > 0 {
+        let lines = summary.dropped_lines;
         anstream::println!("{lines} lines were dropped: the figures above are too low");
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn quantiles(spread: &Samples) -> String {
-    let [half, most, nearly_all] = [0.5, 0.9, 0.99].map(|share| spread.quantile(share));
-    format!("half within {half} ms, nine of ten within {most} ms, 99 of 100 within {nearly_all} ms")
+fn quantiles(samples: &Samples) -> String {
+    let [p50, p90, p99] = [0.5, 0.9, 0.99].map(|fraction| samples.quantile(fraction));
+    format!("half within {p50} ms, nine of ten within {p90} ms, 99 of 100 within {p99} ms")
 }
 
-fn queues(account: &LogSummary) -> Table {
+fn queue_table(summary: &LogSummary) -> Table {
     let mut table = Table::new();
     table.load_preset(UTF8_HORIZONTAL_ONLY);
-    let head = ["queue", "admitted", "in time", "late", "refused", "failed"];
-    table.set_header(head);
-    for (name, queue) in &account.queues {
+    let header = ["queue", "admitted", "in time", "late", "refused", "failed"];
+    table.set_header(header);
+    for (name, queue) in &summary.queues {
         table.add_row([
             name.clone(),
             queue.admitted.to_string(),
--- a/cli/src/logging.rs
+++ b/cli/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: numbered events on standard error.
+//! Sets up logging: standard error for commands, standard output for the platform's daemons.
 
 use std::io;
 
@@ -7,10 +7,11 @@
 use logforth::layout::{JsonLayout, TextLayout};
 use trestleknot_lib::log_writer::LogWriter;
 
-/// Target of our own events; libraries only show warnings and errors.
-const OWN_TARGET: &str = "trestleknot";
+/// Log target of this project's events. Other targets are only logged from `error` or `warn` on.
+const LOG_TARGET: &str = "trestleknot";
 
-/// Starts logging as the command line asks. Daemons tell more than commands do.
+/// Starts logging as the command line requests. Daemons log at `info` by default, commands at
+/// `error`.
 pub fn start(matches: &ArgMatches) {
     let Some((name, args)) = matches.subcommand() else {
         return;
@@ -19,7 +20,7 @@
     let default = if is_daemon { "info" } else { "error" };
     let level = args.get_one::<String>("log-level");
     let level = level.map_or(default, String::as_str);
-    let spec = format!("error,{OWN_TARGET}={level}");
+    let spec = format!("error,{LOG_TARGET}={level}");
     let filter = RustLogFilterBuilder::from_spec(spec).build();
     let builder = logforth::starter_log::stderr().filter(filter);
     let as_json = args
@@ -33,10 +34,11 @@
     builder.apply();
 }
 
-/// Starts logging for the platform: bounded lines on standard output, written in the background.
-pub fn start_lines() -> io::Result<LogWriter> {
+/// Starts logging for a daemon on the platform. A background thread writes lines of bounded length
+/// to standard output.
+pub fn start_platform_logging() -> io::Result<LogWriter> {
     let log = LogWriter::start()?;
-    let filter = RustLogFilterBuilder::from_spec(format!("warn,{OWN_TARGET}=info")).build();
+    let filter = RustLogFilterBuilder::from_spec(format!("warn,{LOG_TARGET}=info")).build();
     let append = log.clone();
     logforth::starter_log::builder()
         .dispatch(|d| d.filter(filter).append(append))
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of trestleknot. Everything that decides lives in the library.
+//! The command line of trestleknot. The scheduling logic is in the library.
 
 mod args;
 mod client;
@@ -56,6 +56,6 @@
         Some(("hash-key", args)) => operators::hash_key(args),
         Some(("demo", args)) => demo::run(args),
         Some(("completions", args)) => args::completions(args),
-        _ => unreachable!("clap demands a known subcommand"),
+        _ => unreachable!("clap requires a known subcommand"),
     }
 }
--- a/cli/src/operators.rs
+++ b/cli/src/operators.rs
@@ -1,4 +1,4 @@
-//! `check`, `apply`, `diff` and `hash-key`.
+//! The commands `check`, `apply`, `diff` and `hash-key`.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -14,15 +14,15 @@
 use trestleknot_lib::settings::{self, AgentSettings, EntrySettings};
 
 use crate::client::{block_on, no_answer};
-use crate::error::{CliResult, LOST_RACE, NotAppliedSnafu, ReadFileSnafu, UNKNOWN};
+use crate::error::{CliResult, LOST_RACE, NotAppliedSnafu, ReadFileSnafu, UNKNOWN_OUTCOME};
 
-fn file_of(args: &ArgMatches) -> PathBuf {
+fn file_arg(args: &ArgMatches) -> PathBuf {
     let path = args.get_one::<PathBuf>("file");
-    path.expect("clap demands it").clone()
+    path.expect("clap requires it").clone()
 }
 
-fn text_of<'a>(args: &'a ArgMatches, name: &str) -> &'a str {
-    args.get_one::<String>(name).expect("clap demands it")
+fn text_arg<'a>(args: &'a ArgMatches, name: &str) -> &'a str {
+    args.get_one::<String>(name).expect("clap requires it")
 }
 
 fn load_document(path: &Path) -> CliResult<Document> {
@@ -30,10 +30,10 @@
     Ok(Document::parse(&path.display().to_string(), &text)?)
 }
 
-/// Checks a file as a daemon or `apply` would.
+/// Checks a file with the parser that a daemon or `apply` uses.
 pub fn check(args: &ArgMatches) -> CliResult<ExitCode> {
-    let path = file_of(args);
-    match text_of(args, "kind") {
+    let path = file_arg(args);
+    match text_arg(args, "kind") {
         "entry" => {
             settings::load::<EntrySettings>(&path)?;
         }
@@ -54,25 +54,25 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Applies a configuration and says truly what became of it.
+/// Applies a configuration and reports whether it is in force.
 pub fn apply(args: &ArgMatches) -> CliResult<ExitCode> {
-    let document = load_document(&file_of(args))?;
+    let document = load_document(&file_arg(args))?;
     let patience = *args.get_one::<u64>("patience-ms").expect("has a default");
     let change = Change {
         text: document.canonical()?.into(),
         nonce: rand::random(),
-        author: text_of(args, "author").to_owned(),
+        author: text_arg(args, "author").to_owned(),
         patience: Duration::from_millis(patience),
     };
-    let url = text_of(args, "log-url").to_owned();
+    let url = text_arg(args, "log-url").to_owned();
     let outcome = block_on(async move {
         let platform = HttpPlatform::new(&url, &url).await;
         apply::apply(&platform, change).await
     });
-    tell_outcome(&outcome)
+    report_outcome(&outcome)
 }
 
-fn tell_outcome(outcome: &ApplyOutcome) -> CliResult<ExitCode> {
+fn report_outcome(outcome: &ApplyOutcome) -> CliResult<ExitCode> {
     let (message, code) = match outcome {
         ApplyOutcome::InForce { version } => {
             anstream::println!("version {version} is in force");
@@ -94,16 +94,16 @@
                 "it is not known whether this was applied: {cause}; look at `diff` when the log \
                  answers, and apply again if it shows a difference"
             ),
-            UNKNOWN,
+            UNKNOWN_OUTCOME,
         ),
     };
     NotAppliedSnafu { message, code }.fail()
 }
 
-/// Shows what applying a file would change.
+/// Prints the difference between the configuration in force and a file.
 pub fn diff(args: &ArgMatches) -> CliResult<ExitCode> {
-    let wanted = load_document(&file_of(args))?;
-    let url = text_of(args, "log-url").to_owned();
+    let desired = load_document(&file_arg(args))?;
+    let url = text_arg(args, "log-url").to_owned();
     let head = block_on(async move {
         let platform = HttpPlatform::new(&url, &url).await;
         match apply::read_head(&platform).await {
@@ -112,27 +112,27 @@
         }
     })?;
     let version = head.as_ref().map_or(0, |h| h.stamp.version);
-    let held = pretty(&apply::document_of(head.as_ref()));
-    let wanted = pretty(&wanted);
-    if held == wanted {
+    let in_force = to_pretty_json(&apply::document_of(head.as_ref()));
+    let desired = to_pretty_json(&desired);
+    if in_force == desired {
         anstream::println!("no difference to version {version}");
         return Ok(ExitCode::SUCCESS);
     }
-    let diff = TextDiff::from_lines(&held, &wanted);
-    let shown = diff.unified_diff();
-    let mut shown = shown;
-    shown.header(&format!("version {version} in force"), "file");
-    anstream::print!("{shown}");
+    let diff = TextDiff::from_lines(&in_force, &desired);
+    let unified = diff.unified_diff();
+    let mut unified = unified;
+    unified.header(&format!("version {version} in force"), "file");
+    anstream::print!("{unified}");
     Ok(ExitCode::SUCCESS)
 }
 
-fn pretty(document: &Document) -> String {
-    let text = serde_json::to_string_pretty(document).expect("a document can be written");
+fn to_pretty_json(document: &Document) -> String {
+    let text = serde_json::to_string_pretty(document).expect("a document always serializes");
     text + "\n"
 }
 
-/// Prints the hash of a key.
+/// Prints the hash of a team's key.
 pub fn hash_key(args: &ArgMatches) -> CliResult<ExitCode> {
-    anstream::println!("{}", hash(text_of(args, "key")));
+    anstream::println!("{}", hash(text_arg(args, "key")));
     Ok(ExitCode::SUCCESS)
 }
--- a/cli/src/platform_daemons.rs
+++ b/cli/src/platform_daemons.rs
@@ -1,4 +1,5 @@
-//! The daemons on the users' platform: settings in, one thread each, signals obeyed.
+//! The commands `serve-entry` and `serve-agent`, which run an entry or an agent on the users'
+//! platform. Each runs on one thread.
 
 use std::cell::OnceCell;
 use std::net::{IpAddr, SocketAddr, TcpListener};
@@ -30,14 +31,14 @@
 use crate::logging;
 use crate::settings_watch::SettingsWatch;
 
-/// Port of the metrics page, as deploy/system.toml names it.
+/// Port of the metrics page. It matches deploy/system.toml.
 const METRICS_PORT: u16 = 9464;
-/// How long an idle connection is kept; callers' connections are theirs to close.
-const KEEP_IDLE: Seconds = Seconds(75);
-/// How long a request's head may take, as the platform's first configuration says.
-const HEAD_LIMIT: Seconds = Seconds(3);
-/// Pause between the last answer and the end of the process, for sockets to be written.
-const LAST_WORDS: Duration = Duration::from_millis(60);
+/// How long an idle connection is kept. Callers normally close their connections first.
+const IDLE_TIMEOUT: Seconds = Seconds(75);
+/// Time limit for a request's head, as in the platform's first configuration.
+const HEAD_TIMEOUT: Seconds = Seconds(3);
+/// Pause between the last answer and the process's exit, in which sockets are flushed.
+const FLUSH_PAUSE: Duration = Duration::from_millis(60);
 
 fn settings_path(args: &ArgMatches) -> CliResult<PathBuf> {
     match args.get_one::<PathBuf>("settings") {
@@ -57,29 +58,29 @@
 
 fn http_config() -> SharedCfg {
     let http = HttpServiceConfig::new()
-        .set_keepalive(KEEP_IDLE)
-        .set_client_timeout(HEAD_LIMIT);
+        .set_keepalive(IDLE_TIMEOUT)
+        .set_client_timeout(HEAD_TIMEOUT);
     SharedCfg::new("http").add(http).into()
 }
 
-/// A new life's number. Two lives of one process never share it.
-fn new_life() -> u64 {
+/// Returns a random number that identifies this incarnation of the process.
+fn new_incarnation() -> u64 {
     rand::random()
 }
 
-fn started(common: &CommonSettings, life: u64) {
+fn log_started(common: &CommonSettings, incarnation: u64) {
     let CommonSettings { name, hall, .. } = common;
     let version = env!("CARGO_PKG_VERSION");
-    let detail = format!("name={name} hall={hall} life={life:x} version={version}");
+    let detail = format!("name={name} hall={hall} life={incarnation:x} version={version}");
     LogEvent::new(EventCode::Started, detail).emit();
 }
 
-/// Tells the node of the signals that stop it in an orderly way.
-async fn obey_signals(drain: impl Fn()) {
+/// Calls `drain` on each SIGTERM and SIGINT.
+async fn drain_on_signals(drain: impl Fn()) {
     let term = signal(SignalKind::terminate());
     let int = signal(SignalKind::interrupt());
     let (Ok(mut term), Ok(mut int)) = (term, int) else {
-        LogEvent::new(EventCode::RequestRejected, "signals can't be had").emit();
+        LogEvent::new(EventCode::RequestRejected, "can't install signal handlers").emit();
         return;
     };
     loop {
@@ -98,9 +99,9 @@
     settings::load_agent(path).map(|s| s.common)
 }
 
-/// Ends the process after its last words.
-async fn end(log: LogWriter) {
-    tokio::time::sleep(LAST_WORDS).await;
+/// Waits until sockets are flushed, writes the remaining log lines and exits.
+async fn flush_and_exit(log: LogWriter) {
+    tokio::time::sleep(FLUSH_PAUSE).await;
     log.write_now();
     std::process::exit(0);
 }
@@ -114,7 +115,7 @@
 pub fn entry(args: &ArgMatches) -> CliResult<ExitCode> {
     let path = settings_path(args)?;
     let settings = settings::load_entry(&path)?;
-    let log = logging::start_lines().context(SystemSnafu { what: "logging" })?;
+    let log = logging::start_platform_logging().context(SystemSnafu { what: "logging" })?;
     let callers = listen(settings.callers)?;
     let ready = listen(settings.ready)?;
     let metrics = listen(metrics_address(settings.common.ip))?;
@@ -131,12 +132,12 @@
             .listen(callers)
             .and_then(|s| s.listen(ready))
             .and_then(|s| s.listen(metrics));
-        serve(listening.map(|s| s.run())).await;
+        run_server(listening.map(|s| s.run())).await;
     });
     Ok(ExitCode::FAILURE)
 }
 
-async fn serve(server: std::io::Result<ntex::server::Server>) {
+async fn run_server(server: std::io::Result<ntex::server::Server>) {
     let served = match server {
         Ok(server) => server.await,
         Err(e) => Err(e),
@@ -146,7 +147,7 @@
     }
 }
 
-/// The entry of this thread, started at the first call: the server asks once for each address.
+/// Returns the thread's entry, which the first call starts. The server calls this for each address.
 async fn entry_of_thread(
     settings: &EntrySettings,
     path: &std::path::Path,
@@ -161,15 +162,15 @@
         anstream::eprintln!("error: listening on {}: {e}", common.link_address);
         std::process::exit(1);
     });
-    let life = new_life();
-    started(common, life);
+    let incarnation = new_incarnation();
+    log_started(common, incarnation);
     let options = EntryOptions {
         name: common.name.as_str().into(),
-        incarnation: life,
+        incarnation,
         hall: common.hall.as_str().into(),
         address: common.link_address,
         seeds: common.seeds.clone(),
-        seed: life,
+        seed: incarnation,
         timings: common.timings,
         link_rate: common.link_rate,
     };
@@ -178,17 +179,17 @@
     ntex::rt::spawn(node.clone().follow_operators(feed.clone()));
     let (name, address) = (common.name.clone(), common.link_address);
     ntex::rt::spawn(node.clone().register(feed, name, address));
-    let drained = node.clone();
-    let drain = move || drained.tell(EntryEvent::Drain);
-    ntex::rt::spawn(obey_signals(drain));
+    let drain_node = node.clone();
+    let drain = move || drain_node.tell(EntryEvent::Drain);
+    ntex::rt::spawn(drain_on_signals(drain));
     let watch = SettingsWatch::new(path.to_owned(), load_entry_common, common.clone());
-    let taught = node.clone();
-    let learn = move |seeds| taught.tell(EntryEvent::Entries(seeds));
-    ntex::rt::spawn(watch.run(learn));
-    let (ended, log) = (node.clone(), log.clone());
+    let seeds_node = node.clone();
+    let on_new_seeds = move |seeds| seeds_node.tell(EntryEvent::Entries(seeds));
+    ntex::rt::spawn(watch.run(on_new_seeds));
+    let (ended_node, log) = (node.clone(), log.clone());
     ntex::rt::spawn(async move {
-        ended.ended().await;
-        end(log).await;
+        ended_node.ended().await;
+        flush_and_exit(log).await;
     });
     ENTRY.with(|n| n.set(node.clone()).ok());
     node
@@ -198,7 +199,7 @@
 pub fn agent(args: &ArgMatches) -> CliResult<ExitCode> {
     let path = settings_path(args)?;
     let settings = settings::load_agent(&path)?;
-    let log = logging::start_lines().context(SystemSnafu { what: "logging" })?;
+    let log = logging::start_platform_logging().context(SystemSnafu { what: "logging" })?;
     let reports = listen(settings.reports)?;
     let metrics = listen(metrics_address(settings.common.ip))?;
     run_system("agent", async move {
@@ -210,12 +211,12 @@
         });
         let server = server.workers(1).disable_signals().config(http_config());
         let listening = server.listen(reports).and_then(|s| s.listen(metrics));
-        serve(listening.map(|s| s.run())).await;
+        run_server(listening.map(|s| s.run())).await;
     });
     Ok(ExitCode::FAILURE)
 }
 
-/// The agent of this thread, started at the first call.
+/// Returns the thread's agent, which the first call starts.
 async fn agent_of_thread(
     settings: &AgentSettings,
     path: &std::path::Path,
@@ -225,38 +226,39 @@
         return node;
     }
     let common = &settings.common;
-    let life = new_life();
-    started(common, life);
+    let incarnation = new_incarnation();
+    log_started(common, incarnation);
     let options = AgentOptions {
         name: common.name.as_str().into(),
-        incarnation: life,
+        incarnation,
         hall: common.hall.as_str().into(),
         timings: common.timings,
-        token: time_of_day_ms(),
+        token: unix_time_ms(),
         seeds: common.seeds.clone(),
         evacuation_bound: common.evacuation_bound,
     };
     let target = Rc::new(TargetClient::new(settings.target).await);
     let store = Rc::new(Store::new(common.store).await);
     let node = AgentNode::start(options, target, store.clone(), store);
-    let drained = node.clone();
-    let drain = move || drained.tell(AgentEvent::Drain);
-    ntex::rt::spawn(obey_signals(drain));
+    let drain_node = node.clone();
+    let drain = move || drain_node.tell(AgentEvent::Drain);
+    ntex::rt::spawn(drain_on_signals(drain));
     let watch = SettingsWatch::new(path.to_owned(), load_agent_common, common.clone());
-    let taught = node.clone();
-    let learn = move |seeds| taught.tell(AgentEvent::Entries(seeds));
-    ntex::rt::spawn(watch.run(learn));
-    let (ended, log) = (node.clone(), log.clone());
+    let seeds_node = node.clone();
+    let on_new_seeds = move |seeds| seeds_node.tell(AgentEvent::Entries(seeds));
+    ntex::rt::spawn(watch.run(on_new_seeds));
+    let (ended_node, log) = (node.clone(), log.clone());
     ntex::rt::spawn(async move {
-        ended.ended().await;
-        end(log).await;
+        ended_node.ended().await;
+        flush_and_exit(log).await;
     });
     AGENT.with(|n| n.set(node.clone()).ok());
     node
 }
 
-/// Milliseconds since 1970: fencing tokens rise with it from one life of an agent to the next.
-fn time_of_day_ms() -> u64 {
+/// Milliseconds since 1970. Fencing tokens start at this value, which makes them rise from one
+/// incarnation of an agent to the next.
+fn unix_time_ms() -> u64 {
     let since_1970 = SystemTime::now().duration_since(UNIX_EPOCH);
     since_1970.unwrap_or_default().as_millis() as u64
 }
--- a/cli/src/settings_watch.rs
+++ b/cli/src/settings_watch.rs
@@ -1,5 +1,4 @@
-//! Reads the settings file again when a hang-up says that it has changed, or its time of change
-//! does.
+//! Reloads the settings file on SIGHUP or when its modification time changes.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -9,83 +8,88 @@
 use tokio::signal::unix::{SignalKind, signal};
 use trestleknot_lib::events::{EventCode, LogEvent};
 
-/// How often the file's time of change is looked at: the file may change without a signal, and
-/// new seeds are wanted within seconds.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+/// How often the modification time is checked. The file may change without a signal, and new seeds
+/// are needed within seconds.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// A file and what it said when it was read last.
+/// Watches a settings file for new seeds.
 pub struct SettingsWatch {
     path: PathBuf,
     load: fn(&Path) -> Result<CommonSettings, SettingsError>,
-    known: CommonSettings,
-    changed_at: Option<SystemTime>,
+    current: CommonSettings,
+    modified_at: Option<SystemTime>,
 }
 
 impl SettingsWatch {
-    /// Watches a file that said `known` when it was read.
+    /// Watches a file. `current` holds the settings that were read from it.
     pub fn new(
         path: PathBuf,
         load: fn(&Path) -> Result<CommonSettings, SettingsError>,
-        known: CommonSettings,
+        current: CommonSettings,
     ) -> Self {
-        let changed_at = time_of_change(&path);
+        let modified_at = modification_time(&path);
         Self {
             path,
             load,
-            known,
-            changed_at,
+            current,
+            modified_at,
         }
     }
 
-    /// Gives new seeds to `learn`. Never returns, unless signals can't be had.
-    pub async fn run(mut self, learn: impl Fn(Vec<SocketAddr>)) {
+    /// Passes new seeds to `on_new_seeds`. Returns only if the signal handler can't be installed.
+    pub async fn run(mut self, on_new_seeds: impl Fn(Vec<SocketAddr>)) {
         let Ok(mut hangup) = signal(SignalKind::hangup()) else {
-            LogEvent::new(EventCode::SettingsReload, "cause=\"no signals\"").emit();
+            LogEvent::new(
+                EventCode::SettingsReload,
+                "cause=\"can't install the SIGHUP handler\"",
+            )
+            .emit();
             return;
         };
         loop {
             tokio::select! {
                 _ = hangup.recv() => {}
-                () = tokio::time::sleep(LOOK_EVERY) => {
-                    if time_of_change(&self.path) == self.changed_at {
+                () = tokio::time::sleep(POLL_INTERVAL) => {
+                    if modification_time(&self.path) == self.modified_at {
                         continue;
                     }
                 }
             }
             if let Some(seeds) = self.reload() {
-                learn(seeds);
+                on_new_seeds(seeds);
             }
         }
     }
 
-    /// Reads the file; gives the seeds if they have changed.
+    /// Reloads the file. Returns the seeds if they have changed.
     fn reload(&mut self) -> Option<Vec<SocketAddr>> {
-        self.changed_at = time_of_change(&self.path);
-        let fresh = match (self.load)(&self.path) {
-            Ok(fresh) => fresh,
+        self.modified_at = modification_time(&self.path);
+        let reloaded = match (self.load)(&self.path) {
+            Ok(reloaded) => reloaded,
             Err(e) => {
                 let detail = format!("cause=\"{e}\" change=none");
                 LogEvent::new(EventCode::SettingsReload, detail).emit();
                 return None;
             }
         };
-        let before = std::mem::replace(&mut self.known, fresh);
-        let has_new_seeds = before.seeds != self.known.seeds;
-        let rest = CommonSettings {
-            seeds: self.known.seeds.clone(),
+        let before = std::mem::replace(&mut self.current, reloaded);
+        let has_new_seeds = before.seeds != self.current.seeds;
+        let before_with_new_seeds = CommonSettings {
+            seeds: self.current.seeds.clone(),
             ..before
         };
-        let at_next_start = rest != self.known;
+        let needs_restart = before_with_new_seeds != self.current;
         let detail = format!(
-            "seeds={:?} new_seeds={has_new_seeds} more_at_next_start={at_next_start}",
-            self.known.seeds
+            "seeds={:?} new_seeds={has_new_seeds} more_at_next_start={needs_restart}",
+            self.current.seeds
         );
         LogEvent::new(EventCode::SettingsReload, detail).emit();
-        has_new_seeds.then(|| self.known.seeds.clone())
+        has_new_seeds.then(|| self.current.seeds.clone())
     }
 }
 
-/// None if the file is not there, which counts as a state like any other.
-fn time_of_change(path: &Path) -> Option<SystemTime> {
+/// Returns the modification time, or None if the file is absent. A file that appears or disappears
+/// thus counts as changed.
+fn modification_time(path: &Path) -> Option<SystemTime> {
     path.metadata().and_then(|m| m.modified()).ok()
 }
--- a/cli/src/submit.rs
+++ b/cli/src/submit.rs
@@ -1,4 +1,4 @@
-//! `submit`, `cancel` and `permits`.
+//! The commands `submit`, `cancel` and `permits`.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -14,7 +14,7 @@
 use crate::client::{block_on, new_client, no_answer, read_json};
 use crate::error::{BAD_INPUT, CliResult, NotAppliedSnafu, ReadFileSnafu};
 
-/// Whom to ask, and as whom.
+/// Address of an entry and the caller's key.
 #[derive(Clone)]
 struct Caller {
     entry: String,
@@ -25,7 +25,7 @@
     fn of(args: &ArgMatches) -> Self {
         let text = |name| {
             args.get_one::<String>(name)
-                .expect("clap demands it")
+                .expect("clap requires it")
                 .clone()
         };
         Self {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Submits a job, prints its answer and tells how it went by the exit code.
+/// Submits a job and prints its answer. Exits with 0 only if the job is complete.
 pub fn submit(args: &ArgMatches) -> CliResult<ExitCode> {
     let caller = Caller::of(args);
     let mut body = read_job(args)?;
@@ -67,7 +67,7 @@
         if once {
             let permit = match permit {
                 Some(permit) => permit,
-                None => first_permit(&caller, &client).await?,
+                None => fetch_permit(&caller, &client).await?,
             };
             anstream::eprintln!("permit: {permit}");
             body["repeatable"] = Value::Bool(false);
@@ -75,7 +75,7 @@
         }
         send_job(&caller, &client, &body).await
     })?;
-    let text = serde_json::to_string_pretty(&answer).expect("an answer can be written");
+    let text = serde_json::to_string_pretty(&answer).expect("an answer always serializes");
     anstream::println!("{text}");
     Ok(match answer {
         Answer::Complete { .. } => ExitCode::SUCCESS,
@@ -84,7 +84,7 @@
 }
 
 fn read_job(args: &ArgMatches) -> CliResult<Value> {
-    let path = args.get_one::<PathBuf>("file").expect("clap demands it");
+    let path = args.get_one::<PathBuf>("file").expect("clap requires it");
     let text = std::fs::read_to_string(path).context(ReadFileSnafu { path })?;
     let parsed = trestleknot_lib::json::parse(&path.display().to_string(), &text);
     parsed.or_else(|e| {
@@ -94,7 +94,7 @@
     })
 }
 
-async fn first_permit(caller: &Caller, client: &Client) -> CliResult<String> {
+async fn fetch_permit(caller: &Caller, client: &Client) -> CliResult<String> {
     let permits = caller.permits(client, 1).await?;
     match permits.into_iter().next() {
         Some(permit) => Ok(permit),
@@ -124,7 +124,7 @@
     let caller = Caller::of(args);
     let job = args
         .get_one::<String>("job")
-        .expect("clap demands it")
+        .expect("clap requires it")
         .clone();
     block_on(async move {
         let client = new_client().await;
@@ -140,7 +140,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Prints permits, one a line.
+/// Prints permits, one per line.
 pub fn permits(args: &ArgMatches) -> CliResult<ExitCode> {
     let caller = Caller::of(args);
     let count = *args.get_one::<u32>("count").expect("has a default");
