--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -1,8 +1,8 @@
-//! The filter chain that a submission passes before it becomes a job.
+//! The chain of filters that a submission passes before it becomes a job.
 //!
-//! Each filter looks at one matter and either lets the submission on or refuses it; nothing has
-//! run then. The order is from cheap to dear, and what is wrong with the request itself comes
-//! before what is wrong with the moment.
+//! Each filter checks one condition and accepts or refuses the submission. No task of a refused
+//! submission has run. Cheap filters come first, and filters that check the request come before
+//! those that check the current state.
 
 use std::time::Duration;
 
@@ -13,41 +13,41 @@
 use crate::quota::Quotas;
 use crate::target_table::TargetTable;
 
-/// Part of the caller's time that the estimate may fill; the rest is for errors of the estimate.
-const DEADLINE_PART: f64 = 0.8;
-/// Shortest time after which a refused caller should come back.
-const LEAST_RETRY: Duration = Duration::from_millis(100);
-/// When to come back after a refusal whose cause has no known end.
-const RETRY_SOON: Duration = Duration::from_secs(1);
-/// Path where permits are made.
+/// Share of the deadline that the estimate may fill. The rest absorbs estimation errors.
+const MAX_DEADLINE_SHARE: f64 = 0.8;
+/// Shortest retry delay given to a refused caller.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Retry delay after a refusal whose cause has no known end.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// HTTP path for requesting permits.
 pub const PERMITS_PATH: &str = "/v1/permits";
 
-/// What filters look at.
+/// State that the filters read.
 pub struct AdmissionContext<'a> {
-    /// Now.
+    /// Current time.
     pub now: Now,
-    /// Configuration in force, if any, and whether it is the newest known.
+    /// Configuration in force, if any.
     pub document: Option<&'a Document>,
     /// Whether the configuration is the newest known.
     pub config_current: bool,
-    /// Whether the entry is being stopped.
+    /// Whether the entry is draining.
     pub draining: bool,
     /// The targets.
     pub targets: &'a TargetTable,
-    /// Use of teams.
+    /// Quota use of the teams.
     pub quotas: &'a Quotas,
-    /// Tasks that wait here.
+    /// Number of tasks that wait at this entry.
     pub waiting_tasks: u32,
-    /// How long the job is expected to take.
+    /// Expected duration of the job.
     pub estimate: Estimate,
 }
 
-/// How long a job is expected to take from now.
+/// Expected duration of a job from now.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Estimate {
-    /// Until its last task gets a slot because of what waits already.
+    /// Time until its last task gets a slot, given the tasks that already wait.
     pub wait: Duration,
-    /// From then to its end.
+    /// Time from then to the end of the job.
     pub run: Duration,
 }
 
@@ -58,30 +58,30 @@
     }
 }
 
-/// One matter to look at.
+/// A check of one condition.
 pub trait AdmissionFilter: Send {
-    /// Refuses a submission or lets it on.
+    /// Accepts a submission, or returns the refusal as an error.
     fn check(&self, job: &JobSpec, cx: &AdmissionContext<'_>) -> Result<(), Answer>;
 }
 
-/// The filters in their order.
+/// Creates the filters in the order in which they apply.
 pub fn filter_chain() -> Vec<Box<dyn AdmissionFilter>> {
     vec![
-        Box::new(Shape),
-        Box::new(Stopping),
-        Box::new(ConfigurationKnown),
-        Box::new(Deadline),
-        Box::new(PermitCarried),
+        Box::new(TaskCount),
+        Box::new(NotDraining),
+        Box::new(ConfigurationCurrent),
+        Box::new(DeadlineInRange),
+        Box::new(PermitPresence),
         Box::new(Feasible),
-        Box::new(QuotaLeft),
-        Box::new(QueueRoom),
-        Box::new(InTime),
+        Box::new(QuotaAvailable),
+        Box::new(QueueCapacity),
+        Box::new(DeadlineReachable),
     ]
 }
 
-struct Shape;
+struct TaskCount;
 
-impl AdmissionFilter for Shape {
+impl AdmissionFilter for TaskCount {
     fn check(&self, job: &JobSpec, _: &AdmissionContext<'_>) -> Result<(), Answer> {
         if job.tasks.is_empty() {
             let message = "`tasks` is empty: expected at least one task".to_owned();
@@ -95,46 +95,49 @@
     }
 }
 
-struct Stopping;
+struct NotDraining;
 
-impl AdmissionFilter for Stopping {
+impl AdmissionFilter for NotDraining {
     fn check(&self, _: &JobSpec, cx: &AdmissionContext<'_>) -> Result<(), Answer> {
         if cx.draining {
-            return Err(Answer::refused_until(RefusalReason::Stopping, LEAST_RETRY));
+            return Err(Answer::refused_until(
+                RefusalReason::Stopping,
+                MIN_RETRY_DELAY,
+            ));
         }
         Ok(())
     }
 }
 
-struct ConfigurationKnown;
+struct ConfigurationCurrent;
 
-impl AdmissionFilter for ConfigurationKnown {
+impl AdmissionFilter for ConfigurationCurrent {
     fn check(&self, _: &JobSpec, cx: &AdmissionContext<'_>) -> Result<(), Answer> {
         if cx.document.is_none() || !cx.config_current {
             let reason = RefusalReason::ConfigurationBehind;
-            return Err(Answer::refused_until(reason, RETRY_SOON));
+            return Err(Answer::refused_until(reason, DEFAULT_RETRY_DELAY));
         }
         Ok(())
     }
 }
 
-struct Deadline;
+struct DeadlineInRange;
 
-impl AdmissionFilter for Deadline {
+impl AdmissionFilter for DeadlineInRange {
     fn check(&self, job: &JobSpec, cx: &AdmissionContext<'_>) -> Result<(), Answer> {
-        let most = cx.document.map_or(0, |d| d.max_deadline_ms);
-        let asked = job.deadline.as_millis() as u64;
-        if asked == 0 || asked > most {
-            let message = format!("`deadline_ms` is {asked}: expected 1 to {most}");
+        let max_ms = cx.document.map_or(0, |d| d.max_deadline_ms);
+        let deadline_ms = job.deadline.as_millis() as u64;
+        if deadline_ms == 0 || deadline_ms > max_ms {
+            let message = format!("`deadline_ms` is {deadline_ms}: expected 1 to {max_ms}");
             return Err(Answer::refused(RefusalReason::Malformed { message }));
         }
         Ok(())
     }
 }
 
-struct PermitCarried;
+struct PermitPresence;
 
-impl AdmissionFilter for PermitCarried {
+impl AdmissionFilter for PermitPresence {
     fn check(&self, job: &JobSpec, _: &AdmissionContext<'_>) -> Result<(), Answer> {
         if !job.repeatable && job.permit.is_none() {
             let path = PERMITS_PATH.to_owned();
@@ -153,7 +156,10 @@
 impl AdmissionFilter for Feasible {
     fn check(&self, job: &JobSpec, cx: &AdmissionContext<'_>) -> Result<(), Answer> {
         if !cx.targets.iter().any(|(_, t)| t.is_open()) {
-            return Err(Answer::refused_until(RefusalReason::NoTargets, RETRY_SOON));
+            return Err(Answer::refused_until(
+                RefusalReason::NoTargets,
+                DEFAULT_RETRY_DELAY,
+            ));
         }
         let mut checked = None;
         for (index, task) in job.tasks.iter().enumerate() {
@@ -174,9 +180,9 @@
     }
 }
 
-struct QuotaLeft;
+struct QuotaAvailable;
 
-impl AdmissionFilter for QuotaLeft {
+impl AdmissionFilter for QuotaAvailable {
     fn check(&self, job: &JobSpec, cx: &AdmissionContext<'_>) -> Result<(), Answer> {
         let Some(quota) = team_of(cx, &job.team).map(|t| t.quota) else {
             return Err(Answer::refused(RefusalReason::UnknownTeam));
@@ -189,7 +195,7 @@
         let used = cx.quotas.in_flight(&job.team);
         if used + tasks > share {
             let reason = RefusalReason::OverQuota { share };
-            return Err(Answer::refused_until(reason, RETRY_SOON));
+            return Err(Answer::refused_until(reason, DEFAULT_RETRY_DELAY));
         }
         Ok(())
     }
@@ -199,32 +205,32 @@
     cx.document?.teams.get(team)
 }
 
-struct QueueRoom;
+struct QueueCapacity;
 
-impl AdmissionFilter for QueueRoom {
+impl AdmissionFilter for QueueCapacity {
     fn check(&self, job: &JobSpec, cx: &AdmissionContext<'_>) -> Result<(), Answer> {
-        let room = cx.document.map_or(0, |d| d.max_waiting_tasks);
-        if cx.waiting_tasks + job.tasks.len() as u32 > room {
-            let wait = cx.estimate.wait.max(LEAST_RETRY);
+        let limit = cx.document.map_or(0, |d| d.max_waiting_tasks);
+        if cx.waiting_tasks + job.tasks.len() as u32 > limit {
+            let wait = cx.estimate.wait.max(MIN_RETRY_DELAY);
             return Err(Answer::refused_until(RefusalReason::Busy, wait));
         }
         Ok(())
     }
 }
 
-struct InTime;
+struct DeadlineReachable;
 
-impl AdmissionFilter for InTime {
+impl AdmissionFilter for DeadlineReachable {
     fn check(&self, job: &JobSpec, cx: &AdmissionContext<'_>) -> Result<(), Answer> {
         let response = cx.estimate.response();
-        let most = job.deadline.mul_f64(DEADLINE_PART);
-        if response > most {
+        let limit = job.deadline.mul_f64(MAX_DEADLINE_SHARE);
+        if response > limit {
             let estimate_ms = response.as_millis() as u64;
             let reason = RefusalReason::WouldMissDeadline { estimate_ms };
-            if cx.estimate.run > most {
+            if cx.estimate.run > limit {
                 return Err(Answer::refused(reason));
             }
-            let retry = (response - most).max(LEAST_RETRY);
+            let retry = (response - limit).max(MIN_RETRY_DELAY);
             return Err(Answer::refused_until(reason, retry));
         }
         Ok(())
--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -1,6 +1,7 @@
 //! The agent's core: a deterministic state machine, `(now, event) -> actions`.
 //!
-//! It alone decides the fate of a dispatch, and it alone knows the target's slots exactly.
+//! The agent alone decides the fate of each dispatch and keeps the exact count of the target's
+//! slots.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -17,66 +18,66 @@
 use crate::permit::Registrar;
 use crate::slot_table::SlotTable;
 
-/// What an agent's core is told at start.
+/// Parameters of an agent's core.
 #[derive(Debug, Clone)]
 pub struct AgentOptions {
     /// Name from the settings.
     pub name: NodeName,
-    /// This life.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
     /// Data hall.
     pub hall: HallName,
-    /// What the target has.
+    /// Capacity of the target.
     pub capacity: Capacity,
-    /// Addresses of entries from the settings.
+    /// Addresses of the entries listed in the settings.
     pub entries: Vec<String>,
-    /// Longest drain.
+    /// Time after which a drain ends even if tasks still run.
     pub drain_limit: Duration,
 }
 
-/// Number of a run on the target, never used twice in one life.
+/// Number of a run on the target, unique within one agent incarnation.
 pub type RunId = u64;
 
-/// What an agent is told.
+/// An input of the agent's core.
 #[derive(Debug, Clone)]
 pub enum AgentEvent {
     /// Time has passed.
     Tick,
-    /// A connection to an entry stands and the hello may be sent.
+    /// A connection to an entry is open; the hello may be sent.
     EntryConnected(SessionId),
-    /// A frame of an entry.
+    /// A frame from an entry has arrived.
     EntryFrame {
         /// The session.
         session: SessionId,
         /// The frame.
         frame: Frame<EntryMessage>,
     },
-    /// An entry's session is gone.
+    /// An entry's session has closed.
     EntryClosed(SessionId),
     /// A run has ended on the target.
     RunEnded {
-        /// Which.
+        /// The run.
         run: RunId,
-        /// How.
+        /// How it ended.
         end: RunEnd,
     },
-    /// The VM is to be given up: finish what runs, take nothing new.
+    /// The VM is to be shut down: finish the running tasks and accept no new ones.
     Drain,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The target refused the connection: proof that the task never started.
+    /// The target refused the connection, which proves that the task never started.
     NotStarted,
-    /// The target answered, or may have begun.
+    /// The target answered, or the task may have started.
     Ended(TaskOutcome),
 }
 
-/// What an agent wants done.
+/// An action that the agent's core requests.
 #[derive(Debug, Clone)]
 pub enum AgentAction {
-    /// Connect to the entry at this address, now and whenever the connection is lost.
+    /// Connect to the entry at this address and reconnect whenever the connection is lost.
     KnowEntry(String),
     /// Send a frame to an entry.
     SendEntry {
@@ -108,7 +109,7 @@
     pub job: JobId,
     /// Position in the job.
     pub task: TaskIndex,
-    /// The work.
+    /// The task's specification.
     pub spec: TaskSpec,
     /// Length of the lease.
     pub lease: Duration,
@@ -130,7 +131,7 @@
     pub(crate) entry: Option<Incarnation>,
     pub(crate) name: Option<NodeName>,
     pub(crate) heartbeat_every: Duration,
-    /// The entry has said that it waits for nothing of a leaving agent.
+    /// The entry has released this draining agent: it awaits nothing more from it.
     pub(crate) released: bool,
     pub(crate) last_sent: Now,
 }
@@ -145,20 +146,21 @@
     pub(crate) stopping: bool,
 }
 
-/// A process that has not run for longer has missed heartbeats: others may have given it up.
-const LONGEST_STANDSTILL: Duration = Duration::from_secs(2);
-/// Lease until a configuration says otherwise.
-const FIRST_LEASE: Duration = Duration::from_secs(3);
-/// Tasks of an entry that has been gone for this are stopped: nobody waits for them.
+/// Longest stall of the process that leaves its sessions open. Entries may declare the agent lost
+/// during a longer one.
+const MAX_STALL: Duration = Duration::from_secs(2);
+/// Length of a lease before the first configuration arrives.
+const DEFAULT_LEASE: Duration = Duration::from_secs(3);
+/// Time after which the tasks of a disconnected entry are stopped.
 pub(crate) const ORPHAN_GRACE: Duration = Duration::from_secs(10);
-/// First pause after the target refused a connection; it doubles.
-pub(crate) const FIRST_DOWN: Duration = Duration::from_millis(200);
+/// Initial backoff after the target refused a connection. It doubles at each refusal.
+pub(crate) const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
 
 /// State of an agent.
 pub struct AgentCore {
     pub(crate) options: AgentOptions,
     pub(crate) now: Now,
-    pub(crate) out: Vec<AgentAction>,
+    pub(crate) actions: Vec<AgentAction>,
     pub(crate) links: Outboxes<AgentMessage, EntryLink>,
     pub(crate) sessions: BTreeMap<Incarnation, SessionId>,
     pub(crate) ledger: DispatchLedger,
@@ -171,7 +173,7 @@
     pub(crate) renewed_at: Now,
     pub(crate) config: ConfigStamp,
     pub(crate) down_until: Option<Now>,
-    pub(crate) down_pause: Duration,
+    pub(crate) backoff: Duration,
     pub(crate) draining_since: Option<Now>,
     pub(crate) counters: Counters,
     pub(crate) stopped: bool,
@@ -184,12 +186,12 @@
 }
 
 impl AgentCore {
-    /// A new life of an agent.
+    /// Creates the core of a new agent incarnation.
     pub fn new(options: AgentOptions) -> Self {
         Self {
             slots: SlotTable::new(options.capacity.slots),
             now: Now::ZERO,
-            out: Vec::new(),
+            actions: Vec::new(),
             links: Outboxes::default(),
             sessions: BTreeMap::new(),
             ledger: DispatchLedger::default(),
@@ -197,11 +199,11 @@
             runs: BTreeMap::new(),
             by_dispatch: HashMap::new(),
             next_run: 1,
-            lease: FIRST_LEASE,
+            lease: DEFAULT_LEASE,
             renewed_at: Now::ZERO,
             config: ConfigStamp::default(),
             down_until: None,
-            down_pause: FIRST_DOWN,
+            backoff: INITIAL_BACKOFF,
             draining_since: None,
             counters: Counters::default(),
             stopped: false,
@@ -209,9 +211,9 @@
         }
     }
 
-    /// Takes in an event and returns what is to be done, in order. `now` never goes back.
+    /// Processes an event and returns the resulting actions in order. `now` must not decrease.
     pub fn handle(&mut self, now: Now, event: AgentEvent) -> Vec<AgentAction> {
-        self.note_pause(now);
+        self.close_sessions_after_stall(now);
         if self.stopped {
             return Vec::new();
         }
@@ -225,25 +227,25 @@
         }
         self.balance_slots();
         self.flush();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
-    /// After standing still for longer than a silent session, what has queued up meanwhile is
-    /// stale: the sessions are closed before any of it is looked at, so that no dispatch of
-    /// then starts now. On the next session each is reconciled as never seen.
-    fn note_pause(&mut self, now: Now) {
-        let stood_still = now.saturating_sub(self.now) > LONGEST_STANDSTILL;
+    /// Closes all sessions after a stall of the process that is longer than [`MAX_STALL`]. The
+    /// messages queued meanwhile are stale, and no dispatch among them may start. The next session
+    /// reconciles these dispatches as never seen.
+    fn close_sessions_after_stall(&mut self, now: Now) {
+        let stalled = now.saturating_sub(self.now) > MAX_STALL;
         self.now = self.now.max(now);
-        if !stood_still {
+        if !stalled {
             return;
         }
         for session in self.links.sessions() {
-            self.out.push(AgentAction::CloseEntry(session));
+            self.actions.push(AgentAction::CloseEntry(session));
             self.entry_closed(session);
         }
     }
 
-    /// The first actions of this life.
+    /// The actions to run at start.
     pub fn start(&mut self) -> Vec<AgentAction> {
         let entries = self.options.entries.iter().cloned();
         entries.map(AgentAction::KnowEntry).collect()
@@ -251,12 +253,13 @@
 
     fn flush(&mut self) {
         for (session, frame) in self.links.flush() {
-            self.out.push(AgentAction::SendEntry { session, frame });
+            self.actions.push(AgentAction::SendEntry { session, frame });
         }
     }
 
     pub(crate) fn log(&mut self, code: EventCode, detail: impl Into<String>) {
-        self.out.push(AgentAction::Log(LogEvent::new(code, detail)));
+        self.actions
+            .push(AgentAction::Log(LogEvent::new(code, detail)));
     }
 
     pub(crate) fn send(&mut self, session: SessionId, message: AgentMessage) {
@@ -279,7 +282,7 @@
 
     fn tick(&mut self) {
         for session in self.links.silent(self.now) {
-            self.out.push(AgentAction::CloseEntry(session));
+            self.actions.push(AgentAction::CloseEntry(session));
             self.entry_closed(session);
         }
         self.send_heartbeats();
@@ -300,31 +303,32 @@
         self.slots.set_usable(false);
         self.log(
             EventCode::Draining,
-            format!("{} tasks run", self.runs.len()),
+            format!("{} tasks running", self.runs.len()),
         );
         for session in self.links.sessions() {
             self.send(session, AgentMessage::Leaving);
         }
     }
 
-    /// Ends the drain when nothing runs, every result has reached its entry, and every entry has
-    /// released this agent or has been cut off for long; or at its limit.
+    /// Ends the drain when no task runs, every result has reached its entry, and every entry has
+    /// released this agent or been disconnected for [`ORPHAN_GRACE`]. Ends it at the drain limit
+    /// in any case.
     fn tick_drain(&mut self) {
         let Some(since) = self.draining_since else {
             return;
         };
-        let late = self.now.saturating_sub(since) >= self.options.drain_limit;
+        let timed_out = self.now.saturating_sub(since) >= self.options.drain_limit;
         let cutoff = self.now.saturating_sub(ORPHAN_GRACE);
         let running = self.runs.len();
         let unsettled = self.ledger.awaited_results(cutoff);
         let clean = running + unsettled == 0;
         let unreleased = self.links.states().filter(|l| !l.released).count();
-        let awaited = self.ledger.lost_since(cutoff) + unreleased;
-        if (!clean || awaited > 0) && !late {
+        let awaited = self.ledger.count_lost_since(cutoff) + unreleased;
+        if (!clean || awaited > 0) && !timed_out {
             return;
         }
         if !clean {
-            let detail = format!("{running} tasks run, {unsettled} results not settled");
+            let detail = format!("{running} tasks running, {unsettled} results not settled");
             self.log(EventCode::DrainCut, detail);
         }
         for session in self.links.sessions() {
@@ -332,26 +336,26 @@
         }
         self.log(EventCode::Drained, &*self.options.name.clone());
         self.flush();
-        self.out.push(AgentAction::Stop);
+        self.actions.push(AgentAction::Stop);
         self.stopped = true;
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Tasks running.
+    /// Number of running tasks.
     pub fn running(&self) -> usize {
         self.runs.len()
     }
 
-    /// Slots of the target.
+    /// Number of slots of the target.
     pub fn slots(&self) -> u32 {
         self.options.capacity.slots
     }
 
-    /// Configuration that the agent has heard of.
+    /// Newest configuration that the agent knows of.
     pub fn config(&self) -> ConfigStamp {
         self.config
     }
--- a/lib/src/agent_daemon.rs
+++ b/lib/src/agent_daemon.rs
@@ -1,6 +1,6 @@
-//! An agent as a process: its threads and the rings between them.
+//! The agent process: its threads and the ring buffers between them.
 //!
-//! Threads: core, links, target, telemetry, operators' HTTP.
+//! The threads run the core, the links, the target, telemetry and the operators' HTTP server.
 
 use std::cell::RefCell;
 use std::io;
@@ -35,10 +35,10 @@
     report, run_system, serve_metrics, spawn,
 };
 
-/// How often levels are reported.
+/// Interval between reports of levels to telemetry.
 const LEVELS_EVERY: Duration = Duration::from_secs(1);
-/// How long sessions have to write their last words.
-const LAST_WORDS: Duration = Duration::from_millis(200);
+/// Time that sessions have to write their last frames before the thread ends.
+const FINAL_WRITE_TIME: Duration = Duration::from_millis(200);
 
 enum AgentInput {
     Event(AgentEvent),
@@ -54,26 +54,26 @@
 
 /// A running agent.
 pub struct AgentDaemon {
-    /// This life.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Where operators reach it.
+    /// Address of the operators' HTTP server.
     pub operator_address: SocketAddr,
     threads: DaemonThreads<AgentInput>,
 }
 
-/// What an agent is started with.
+/// Parameters for [`AgentDaemon::start`].
 pub struct AgentStart {
-    /// Settings, checked.
+    /// Validated settings.
     pub settings: AgentSettings,
-    /// This life.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Bound socket for operators.
+    /// Bound socket of the operators' HTTP server.
     pub operators: TcpListener,
-    /// The target.
+    /// Creates the client of the target on its thread.
     pub target: Factory<Rc<dyn TargetService>>,
 }
 
-/// The target of the settings, over HTTP.
+/// A factory for an HTTP client of the target that the settings name.
 pub fn http_target(
     settings: &AgentSettings,
     incarnation: Incarnation,
@@ -116,7 +116,7 @@
         threads.push(spawn("http", move || {
             run_system("http", async move {
                 if let Err(e) = serve_metrics(operators, page, end_rx).await {
-                    log::error!("operators can't be served: {e}");
+                    log::error!("operators' HTTP server failed: {e}");
                 }
             });
         })?);
@@ -141,7 +141,7 @@
         let (link_tx, link_rx) = ring(OUT_RING, Arc::new(link_waker.clone()));
         threads.push(spawn("links", move || {
             let served = session_links::run_local(async move {
-                let manners = HandshakeConfig {
+                let handshake = HandshakeConfig {
                     our_first: None,
                     await_first: false,
                     path: AGENT_PATH,
@@ -149,16 +149,16 @@
                 let links: Rc<SessionLinks<AgentMessage, EntryMessage, AgentInput>> =
                     SessionLinks::new(
                         secret,
-                        manners,
+                        handshake,
                         entry_events,
                         AgentInput::Entry,
                         links_traffic,
                     );
                 links.serve(link_rx, link_waker).await;
-                tokio::time::sleep(LAST_WORDS).await;
+                tokio::time::sleep(FINAL_WRITE_TIME).await;
             });
             if let Err(e) = served {
-                log::error!("links can't be served: {e}");
+                log::error!("session links failed: {e}");
             }
         })?);
 
@@ -196,12 +196,12 @@
         })
     }
 
-    /// Begins an orderly stop.
+    /// Begins a drain, after which the process stops.
     pub fn drain(&self) {
         self.threads.send(AgentInput::Event(AgentEvent::Drain));
     }
 
-    /// Ends at once, as a crash would.
+    /// Stops at once without a drain.
     pub fn kill(self) {
         self.threads.send(AgentInput::Halt);
         self.join();
@@ -212,7 +212,7 @@
         self.threads.is_finished()
     }
 
-    /// Waits for the end.
+    /// Waits until all threads have ended.
     pub fn join(self) {
         self.threads.join();
     }
@@ -323,7 +323,7 @@
         loop {
             while let Some(command) = commands.pop() {
                 let runner = self.clone();
-                ntex::rt::spawn(async move { runner.obey(command).await });
+                ntex::rt::spawn(async move { runner.execute(command).await });
             }
             if commands.is_finished() {
                 return;
@@ -332,7 +332,7 @@
         }
     }
 
-    async fn obey(&self, command: TargetCommand) {
+    async fn execute(&self, command: TargetCommand) {
         match command {
             TargetCommand::Start(start) => self.run(start).await,
             TargetCommand::Renew(renewal) => self.target.renew(renewal).await,
@@ -346,32 +346,32 @@
         let context = parent.map(|p| p.child());
         start.trace = context.map(|c| c.to_string().into());
         let detail = format!("{} task {}", start.job, start.task);
-        let began = SystemTime::now();
+        let started = SystemTime::now();
         let end = self.target.run(start).await;
         if let Some(context) = context {
             let span = SpanRecord {
                 name: "agent",
                 context,
                 parent,
-                start: began,
+                start: started,
                 end: SystemTime::now(),
                 detail,
             };
             report(&mut self.spans.borrow_mut(), Report::Span(span));
         }
-        self.tell(AgentInput::Event(AgentEvent::RunEnded { run, end }))
+        self.send_to_core(AgentInput::Event(AgentEvent::RunEnded { run, end }))
             .await;
     }
 
-    /// Tells the core, waiting while its ring is full.
-    async fn tell(&self, input: AgentInput) {
+    /// Sends an input to the core and waits while its ring is full.
+    async fn send_to_core(&self, input: AgentInput) {
         let mut input = input;
         loop {
             let pushed = self.events.borrow_mut().push(input);
             match pushed {
                 Ok(()) => return,
                 Err(_) if self.events.borrow().is_abandoned() => return,
-                Err(back) => input = back,
+                Err(rejected) => input = rejected,
             }
             ntex::time::sleep(Duration::from_millis(1)).await;
         }
--- a/lib/src/agent_runs.rs
+++ b/lib/src/agent_runs.rs
@@ -1,10 +1,10 @@
-//! The agent's dispatches and runs: fates, slots, leases.
+//! The agent's dispatches and runs: their fates, slots and leases.
 
 use std::time::Duration;
 
 use crate::agent::{
-    AgentAction, AgentCore, DispatchKey, FIRST_DOWN, ORPHAN_GRACE, Renewal, Run, RunEnd, RunId,
-    Start,
+    AgentAction, AgentCore, DispatchKey, INITIAL_BACKOFF, ORPHAN_GRACE, Renewal, Run, RunEnd,
+    RunId, Start,
 };
 use crate::events::EventCode;
 use crate::ids::{DispatchSeq, Incarnation, SessionId};
@@ -13,10 +13,10 @@
 use crate::message::{AgentMessage, Dispatch, DispatchFate, DispatchRefusal};
 use crate::slot_table::SlotNotice;
 
-/// What is known of an entry's dispatches is dropped when it has been gone for this.
+/// Time after which the record of a disconnected entry's dispatches is dropped.
 const FORGET_AFTER: Duration = Duration::from_secs(120);
-/// Longest such pause.
-const MOST_DOWN: Duration = Duration::from_secs(5);
+/// Longest backoff after the target refused a connection.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 impl AgentCore {
     /// Decides the fate of a dispatch.
@@ -31,24 +31,24 @@
             return;
         }
         self.slots.limit_demand(session, dispatch.waiting);
-        match self.reason_to_refuse(&dispatch.spec) {
+        match self.refusal_reason(&dispatch.spec) {
             Some(reason) => self.refuse(session, entry, dispatch.seq, reason),
             None if self.slots.take(session) => self.start_run(entry, dispatch),
             None => self.refuse(session, entry, dispatch.seq, DispatchRefusal::Full),
         }
     }
 
-    pub(crate) fn reason_to_refuse(&self, spec: &TaskSpec) -> Option<DispatchRefusal> {
+    pub(crate) fn refusal_reason(&self, spec: &TaskSpec) -> Option<DispatchRefusal> {
         if self.draining_since.is_some() {
             return Some(DispatchRefusal::Leaving);
         }
         if self.down_until.is_some_and(|until| until > self.now) {
             return Some(DispatchRefusal::TargetDown);
         }
-        let used: u32 = self.runs.values().map(|r| r.accelerators).sum();
+        let accelerators: u32 = self.runs.values().map(|r| r.accelerators).sum();
         let memory: u32 = self.runs.values().map(|r| r.memory_mib).sum();
         let capacity = self.options.capacity;
-        let fits = used + spec.accelerators <= capacity.accelerators
+        let fits = accelerators + spec.accelerators <= capacity.accelerators
             && memory + spec.memory_mib <= capacity.memory_mib;
         (!fits).then_some(DispatchRefusal::Resources)
     }
@@ -82,7 +82,7 @@
         };
         self.runs.insert(run, record);
         self.by_dispatch.insert(DispatchKey { entry, seq }, run);
-        self.out.push(AgentAction::Start(Start {
+        self.actions.push(AgentAction::Start(Start {
             run,
             job: dispatch.job,
             task: dispatch.task,
@@ -92,7 +92,7 @@
         }));
     }
 
-    /// Takes in how a run ended and tells the entry that asked for it.
+    /// Records how a run ended and reports it to the entry that dispatched the task.
     pub(crate) fn run_ended(&mut self, run: RunId, end: RunEnd) {
         let Some(record) = self.runs.remove(&run) else {
             return;
@@ -102,7 +102,7 @@
         self.slots.release();
         match end {
             RunEnd::NotStarted => {
-                self.target_is_down();
+                self.mark_target_down();
                 let reason = DispatchRefusal::TargetDown;
                 self.ledger
                     .decide(entry, seq, DispatchFate::Refused(reason));
@@ -110,7 +110,7 @@
                 self.send_entry(entry, AgentMessage::Refused { seq, reason, free });
             }
             RunEnd::Ended(outcome) => {
-                self.target_is_up();
+                self.mark_target_up();
                 self.ledger.finish(entry, seq, outcome.clone());
                 let took = self.now.saturating_sub(record.started);
                 let message = AgentMessage::Finished {
@@ -124,28 +124,28 @@
         }
     }
 
-    /// Lends nothing for a while after the target has refused a connection.
-    pub(crate) fn target_is_down(&mut self) {
+    /// Stops lending slots until the backoff ends, after the target refused a connection.
+    pub(crate) fn mark_target_down(&mut self) {
         if self.down_until.is_none() {
             self.log(EventCode::TargetDown, &*self.options.name.clone());
         }
-        self.down_until = Some(self.now + self.down_pause);
-        self.down_pause = (self.down_pause * 2).min(MOST_DOWN);
+        self.down_until = Some(self.now + self.backoff);
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
         self.slots.set_usable(false);
         for notice in self.slots.recall_all() {
             self.send_notice(notice);
         }
     }
 
-    pub(crate) fn target_is_up(&mut self) {
-        self.down_pause = FIRST_DOWN;
+    pub(crate) fn mark_target_up(&mut self) {
+        self.backoff = INITIAL_BACKOFF;
         if self.down_until.take().is_some() {
             self.log(EventCode::TargetUp, &*self.options.name.clone());
             self.slots.set_usable(self.draining_since.is_none());
         }
     }
 
-    /// Refuses for good what has not started, and stops what runs.
+    /// Revokes dispatches: refuses those that have not started for good and stops those that run.
     pub(crate) fn revoked(&mut self, entry: Incarnation, seqs: &[DispatchSeq]) {
         for &seq in seqs {
             match self.ledger.revoke(entry, seq) {
@@ -170,11 +170,11 @@
             && !record.stopping
         {
             record.stopping = true;
-            self.out.push(AgentAction::StopRun(run));
+            self.actions.push(AgentAction::StopRun(run));
         }
     }
 
-    /// Renews all leases three times a lease.
+    /// Renews the leases of all runs at intervals of a third of their length.
     pub(crate) fn renew_leases(&mut self) {
         if self.now.saturating_sub(self.renewed_at) < self.lease / 3 {
             return;
@@ -184,11 +184,13 @@
         let runs: Vec<RunId> = live.map(|(run, _)| *run).collect();
         if !runs.is_empty() {
             let lease = self.lease;
-            self.out.push(AgentAction::Renew(Renewal { runs, lease }));
+            self.actions
+                .push(AgentAction::Renew(Renewal { runs, lease }));
         }
     }
 
-    /// Stops tasks that nobody waits for any more, and forgets entries that are long gone.
+    /// Stops the tasks of entries disconnected for [`ORPHAN_GRACE`] and forgets entries that have
+    /// been disconnected for [`FORGET_AFTER`].
     pub(crate) fn stop_orphans(&mut self) {
         let lost: Vec<Incarnation> = self
             .ledger
@@ -204,7 +206,7 @@
         }
         let cutoff = self.now.saturating_sub(FORGET_AFTER);
         if self.ledger.lost_before(cutoff).next().is_some() {
-            self.log(EventCode::EntryForgotten, "gone for long");
+            self.log(EventCode::EntryForgotten, "disconnected for too long");
             self.ledger.forget_lost_before(cutoff);
         }
     }
--- a/lib/src/agent_sessions.rs
+++ b/lib/src/agent_sessions.rs
@@ -1,4 +1,4 @@
-//! The agent's sessions with entries: hello, welcome, heartbeats, ends.
+//! The agent's sessions with entries, from the hello to the end.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
         let passed = Passed::default();
         self.links
             .open(session, EntryLink::default(), passed, self.now);
-        // Until the welcome names an interval; a lost welcome must not hold the session up.
+        // The welcome sets the real limit. This one closes the session if the welcome is lost.
         let silence = HEARTBEAT_EVERY.mul_f64(SILENT_HEARTBEATS);
         self.links.set_silence(session, silence);
         let hello = AgentHello {
@@ -38,7 +38,7 @@
             Some(FrameOrder::Next) => {}
             Some(FrameOrder::Gap) => {
                 self.log(EventCode::SessionGap, format!("entry session {session}"));
-                self.out.push(AgentAction::CloseEntry(session));
+                self.actions.push(AgentAction::CloseEntry(session));
                 self.entry_closed(session);
                 return;
             }
@@ -89,20 +89,20 @@
             }
             EntryMessage::Release(claim) => self.registrar.release(&claim),
             EntryMessage::Settle { claim, answer } => self.registrar.settle(&claim, answer),
-            EntryMessage::Goodbye => self.entry_gone(session, entry),
+            EntryMessage::Goodbye => self.entry_said_goodbye(session, entry),
         }
     }
 
-    /// Resumes with an entry: answers for all that it waits for.
+    /// Resumes the work with an entry and reports the fates of its outstanding dispatches.
     pub(crate) fn welcomed(&mut self, session: SessionId, welcome: Welcome) {
         let entry = welcome.incarnation;
         if let Some(old) = self.sessions.insert(entry, session)
             && old != session
         {
-            self.out.push(AgentAction::CloseEntry(old));
+            self.actions.push(AgentAction::CloseEntry(old));
             self.drop_session(old);
         }
-        self.end_former_lives(&welcome);
+        self.end_former_incarnations(&welcome);
         if let Some(link) = self.links.get_mut(session) {
             link.entry = Some(entry);
             link.name = Some(welcome.name.clone());
@@ -123,7 +123,7 @@
             self.config = welcome.config;
         }
         for address in welcome.entries {
-            self.out.push(AgentAction::KnowEntry(address));
+            self.actions.push(AgentAction::KnowEntry(address));
         }
         self.log(
             EventCode::EntryJoined,
@@ -131,29 +131,30 @@
         );
     }
 
-    /// A new life of an entry is proof that its former one is over.
-    pub(crate) fn end_former_lives(&mut self, welcome: &Welcome) {
+    /// Abandons the claims of an entry's former incarnations: a welcome from a new one proves that
+    /// they have ended.
+    pub(crate) fn end_former_incarnations(&mut self, welcome: &Welcome) {
         let former: Vec<Incarnation> = self
             .sessions
             .iter()
-            .filter(|(life, session)| {
+            .filter(|(incarnation, session)| {
                 let same_name = self
                     .links
                     .state(**session)
                     .is_some_and(|l| l.name.as_ref() == Some(&welcome.name));
-                **life != welcome.incarnation && same_name
+                **incarnation != welcome.incarnation && same_name
             })
-            .map(|(life, _)| *life)
+            .map(|(incarnation, _)| *incarnation)
             .collect();
-        for life in former {
-            self.registrar.abandon(life);
+        for incarnation in former {
+            self.registrar.abandon(incarnation);
         }
     }
 
-    /// An entry's life is over by its own word.
-    pub(crate) fn entry_gone(&mut self, session: SessionId, entry: Incarnation) {
+    /// Closes the session of an entry that has said goodbye and drops its record.
+    pub(crate) fn entry_said_goodbye(&mut self, session: SessionId, entry: Incarnation) {
         self.registrar.abandon(entry);
-        self.out.push(AgentAction::CloseEntry(session));
+        self.actions.push(AgentAction::CloseEntry(session));
         self.entry_closed(session);
         self.ledger.remove(entry);
     }
@@ -179,8 +180,8 @@
     pub(crate) fn send_heartbeats(&mut self) {
         for session in self.links.sessions() {
             let is_quiet = |l: &EntryLink| {
-                let every = l.heartbeat_every.max(HEARTBEAT_EVERY);
-                self.now.saturating_sub(l.last_sent) >= every
+                let interval = l.heartbeat_every.max(HEARTBEAT_EVERY);
+                self.now.saturating_sub(l.last_sent) >= interval
             };
             let quiet = self.links.state(session).is_some_and(is_quiet);
             if quiet {
--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -1,46 +1,46 @@
-//! Sets targets aside that fail what they start, and lets them back slowly.
+//! Ejects targets whose tasks fail and readmits them through probes.
 //!
-//! A target that fails fast frees its slots fast and so draws work towards itself. It is
-//! compared with its peers: a cause that all share sets nobody aside, and a floor keeps most of
-//! the fleet in use whatever happens.
+//! A target that fails fast frees its slots fast and therefore attracts more tasks. Each target is
+//! compared with its peers, so a cause that all targets share ejects none. A limit on ejections
+//! keeps most of the fleet in use.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use crate::ids::{Incarnation, JobSeq, Now};
 
-/// Ends of tasks remembered for each target.
-const WINDOW: usize = 20;
-/// Failures of different jobs within the window that make a target suspect.
-const SUSPECT_FAILURES: usize = 3;
-/// A suspect is set aside if it fails so many times as often as the rest of the fleet.
-const WORSE_THAN_PEERS: f64 = 3.0;
-/// First wait before a probe; it doubles at each failed probe.
-const FIRST_PROBE: Duration = Duration::from_secs(2);
-/// Longest wait before a probe.
-const LAST_PROBE: Duration = Duration::from_secs(60);
-/// Probes that must end well, one after the other, before the target is in full use.
-const PROBES_TO_RETURN: u32 = 3;
-/// At most one in so many targets may be set aside at a time.
-const SET_ASIDE_FLOOR: usize = 3;
-
-/// How a task ended, as health sees it.
+/// Number of recent task results kept for each target.
+const WINDOW_LEN: usize = 20;
+/// Failures of different jobs within the window before a target may be ejected.
+const MIN_FAILURES: usize = 3;
+/// Least ratio of a target's failure rate to its peers' for an ejection.
+const MIN_FAILURE_RATIO: f64 = 3.0;
+/// Delay before the first probe. It doubles at each failed probe.
+const INITIAL_PROBE_DELAY: Duration = Duration::from_secs(2);
+/// Longest delay before a probe.
+const MAX_PROBE_DELAY: Duration = Duration::from_secs(60);
+/// Consecutive successful probes that readmit a target.
+const PROBES_TO_READMIT: u32 = 3;
+/// At most one in this many targets may be ejected or probing at a time.
+const TARGETS_PER_EJECTION: usize = 3;
+
+/// The result of a task for the health of its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// The target did its work.
+    /// The target ran the task.
     Good,
     /// The target reported an error or lost the task.
     Bad,
 }
 
-/// A change of what a target may get.
+/// A change in the number of tasks that a target may get.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthChange {
-    /// Give it nothing.
+    /// The target is ejected and gets no tasks.
     SetAside(Incarnation),
-    /// Give it one task at a time.
+    /// The target is probed with one task at a time.
     Probe(Incarnation),
-    /// Give it up to this many.
+    /// The target gets up to this many tasks at a time.
     Allow(Incarnation, u32),
 }
 
@@ -55,18 +55,18 @@
     window: VecDeque<Ending>,
     last_failed_job: Option<JobSeq>,
     state: State,
-    wait: Duration,
+    probe_delay: Duration,
 }
 
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 enum State {
     #[default]
     InUse,
-    SetAside {
+    Ejected {
         until: Now,
     },
     Probing {
-        good: u32,
+        passed: u32,
     },
 }
 
@@ -76,24 +76,24 @@
     }
 
     fn push(&mut self, ending: Ending) {
-        if self.window.len() == WINDOW {
+        if self.window.len() == WINDOW_LEN {
             self.window.pop_front();
         }
         self.window.push_back(ending);
     }
 
-    fn set_aside(&mut self, now: Now) {
-        let doubled = (self.wait * 2).min(LAST_PROBE);
-        self.wait = doubled.max(FIRST_PROBE);
-        self.state = State::SetAside {
-            until: now + self.wait,
+    fn eject(&mut self, now: Now) {
+        let doubled = (self.probe_delay * 2).min(MAX_PROBE_DELAY);
+        self.probe_delay = doubled.max(INITIAL_PROBE_DELAY);
+        self.state = State::Ejected {
+            until: now + self.probe_delay,
         };
         self.window.clear();
     }
 }
 
 impl HealthController {
-    /// Takes in the end of a task.
+    /// Records the result of a task.
     pub fn observe(
         &mut self,
         target: Incarnation,
@@ -110,100 +110,103 @@
         }
         health.push(ending);
         match (health.state, ending) {
-            (State::InUse, Ending::Bad) => self.judge(target, now),
+            (State::InUse, Ending::Bad) => self.eject_if_outlier(target, now),
             (State::Probing { .. }, Ending::Bad) => {
-                health.set_aside(now);
+                health.eject(now);
                 Some(HealthChange::SetAside(target))
             }
-            (State::Probing { good }, Ending::Good) => Some(health.probe_passed(target, good + 1)),
+            (State::Probing { passed }, Ending::Good) => {
+                Some(health.probe_passed(target, passed + 1))
+            }
             _ => None,
         }
     }
 
-    /// Sets a suspect aside if its peers do better and enough of them remain.
-    fn judge(&mut self, target: Incarnation, now: Now) -> Option<HealthChange> {
+    /// Ejects a target that fails far more often than its peers, if the limit allows it.
+    fn eject_if_outlier(&mut self, target: Incarnation, now: Now) -> Option<HealthChange> {
         let health = &self.targets[&target];
-        if health.failures() < SUSPECT_FAILURES || !self.floor_allows_one_more() {
+        if health.failures() < MIN_FAILURES || !self.may_eject_another() {
             return None;
         }
-        let own = health.failures() as f64 / health.window.len() as f64;
-        if own < WORSE_THAN_PEERS * self.peer_failure_rate(target) {
+        let failure_rate = health.failures() as f64 / health.window.len() as f64;
+        if failure_rate < MIN_FAILURE_RATIO * self.peer_failure_rate(target) {
             return None;
         }
         let health = self.targets.get_mut(&target)?;
-        health.set_aside(now);
+        health.eject(now);
         Some(HealthChange::SetAside(target))
     }
 
-    /// Failures over ends of all other targets, the most lenient view of a small sample.
+    /// Failure rate of all other targets together, or 0 without results.
     fn peer_failure_rate(&self, target: Incarnation) -> f64 {
         let peers = self.targets.iter().filter(|(id, _)| **id != target);
-        let (mut bad, mut all) = (0, 0);
+        let (mut failures, mut results) = (0, 0);
         for (_, health) in peers {
-            bad += health.failures();
-            all += health.window.len();
+            failures += health.failures();
+            results += health.window.len();
         }
-        bad as f64 / all.max(1) as f64
+        failures as f64 / results.max(1) as f64
     }
 
-    fn floor_allows_one_more(&self) -> bool {
-        let aside = self.targets.values().filter(|h| h.state != State::InUse);
-        (aside.count() + 1) * SET_ASIDE_FLOOR <= self.targets.len()
+    fn may_eject_another(&self) -> bool {
+        let ejected = self.targets.values().filter(|h| h.state != State::InUse);
+        (ejected.count() + 1) * TARGETS_PER_EJECTION <= self.targets.len()
     }
 
-    /// Takes in that a peer has set a target aside. One failure seen here is then enough.
+    /// Records that a peer has ejected a target. One failure seen by this entry then suffices to
+    /// eject it.
     pub fn peer_set_aside(&mut self, target: Incarnation, now: Now) -> Option<HealthChange> {
-        let seen_here = self.targets.get(&target)?.failures() > 0;
-        if !seen_here || !self.floor_allows_one_more() {
+        let has_failed = self.targets.get(&target)?.failures() > 0;
+        if !has_failed || !self.may_eject_another() {
             return None;
         }
         let health = self.targets.get_mut(&target)?;
         if health.state != State::InUse {
             return None;
         }
-        health.set_aside(now);
+        health.eject(now);
         Some(HealthChange::SetAside(target))
     }
 
-    /// Lets targets be probed whose wait is over.
+    /// Starts probing the targets whose delay is over.
     pub fn tick(&mut self, now: Now) -> Vec<HealthChange> {
         let mut changes = Vec::new();
         for (target, health) in &mut self.targets {
-            if matches!(health.state, State::SetAside { until } if until <= now) {
-                health.state = State::Probing { good: 0 };
+            if matches!(health.state, State::Ejected { until } if until <= now) {
+                health.state = State::Probing { passed: 0 };
                 changes.push(HealthChange::Probe(*target));
             }
         }
         changes
     }
 
-    /// Starts to watch a target.
+    /// Adds a target to compare with its peers.
     pub fn add(&mut self, target: Incarnation) {
         self.targets.entry(target).or_default();
     }
 
-    /// Drops a target that is gone.
+    /// Removes a target.
     pub fn remove(&mut self, target: Incarnation) {
         self.targets.remove(&target);
     }
 
-    /// Targets that are not in full use, in a fixed order.
+    /// Targets that are ejected or probing, in ascending order.
     pub fn set_aside(&self) -> Vec<Incarnation> {
-        let aside = self.targets.iter().filter(|(_, h)| h.state != State::InUse);
-        let mut ids: Vec<Incarnation> = aside.map(|(id, _)| *id).collect();
+        let ejected = self.targets.iter().filter(|(_, h)| h.state != State::InUse);
+        let mut ids: Vec<Incarnation> = ejected.map(|(id, _)| *id).collect();
         ids.sort_unstable();
         ids
     }
 }
 
 impl TargetHealth {
-    fn probe_passed(&mut self, target: Incarnation, good: u32) -> HealthChange {
-        if good >= PROBES_TO_RETURN {
+    fn probe_passed(&mut self, target: Incarnation, passed: u32) -> HealthChange {
+        if passed >= PROBES_TO_READMIT {
             self.state = State::InUse;
-            self.wait = Duration::ZERO;
+            self.probe_delay = Duration::ZERO;
             return HealthChange::Allow(target, u32::MAX);
         }
-        self.state = State::Probing { good };
-        HealthChange::Allow(target, 1 << good)
+        self.state = State::Probing { passed };
+        HealthChange::Allow(target, 1 << passed)
     }
 }
--- a/lib/src/ledger.rs
+++ b/lib/src/ledger.rs
@@ -1,9 +1,9 @@
-//! The agent's memory of dispatches: what makes "at most once" true.
+//! The agent's record of dispatches, which ensures that each runs at most once.
 //!
-//! Invariant: a dispatch gets its fate here before anything else happens to it, and a fate is
-//! never taken back. A number that was refused, revoked or declared unseen stays refused until
-//! the entry says that it has settled it, so a late copy can't start a task that the entry has
-//! placed elsewhere.
+//! Invariant: the fate of a dispatch is recorded before the agent acts on it, and a refusal or a
+//! result is never taken back. A number that was refused, revoked or declared unseen stays refused
+//! until the entry has settled it. A late copy then can't start a task that the entry has placed
+//! elsewhere.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,21 +11,21 @@
 use crate::job::TaskOutcome;
 use crate::message::{DispatchFate, DispatchRefusal, SettledDispatch};
 
-/// What to do with a dispatch that has arrived.
+/// How to treat a dispatch that has arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Offer {
     /// Seen for the first time: decide its fate.
     Fresh,
-    /// A copy of one whose fate is decided: do nothing.
+    /// A copy of a dispatch whose fate is decided: ignore it.
     Duplicate,
 }
 
-/// Whether the agent still knows what an entry's life has sent to it.
+/// Whether the agent still has its record of an entry incarnation's dispatches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Resume {
-    /// Everything is known.
+    /// The record is complete.
     Known,
-    /// The entry has sent things that are no longer known here.
+    /// The entry has dispatched tasks whose record was dropped.
     Forgotten,
 }
 
@@ -43,8 +43,8 @@
 }
 
 impl DispatchLedger {
-    /// Opens or resumes the record of an entry. `resume` is the entry's claim that it has
-    /// dispatched to this agent's life before.
+    /// Opens or resumes the record of an entry. `resume` is true if the entry says that it has
+    /// dispatched to this agent incarnation before.
     pub fn open(&mut self, entry: Incarnation, resume: bool) -> Resume {
         let known = self.entries.contains_key(&entry);
         let record = self.entries.entry(entry).or_default();
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes in a dispatch. A [`Offer::Fresh`] one must be given a fate by [`Self::decide`].
+    /// Checks whether a dispatch is new. [`Self::decide`] must give an [`Offer::Fresh`] one a fate.
     pub fn offer(&mut self, entry: Incarnation, seq: DispatchSeq) -> Offer {
         match self.entries.get(&entry) {
             Some(record) if seq >= record.settled_below && !record.fates.contains_key(&seq) => {
@@ -76,7 +76,8 @@
         }
     }
 
-    /// Revokes a dispatch. Returns its fate after that: refused if it had none before.
+    /// Revokes a dispatch and returns its fate, which is a refusal if it had none before.
+    /// Returns `None` if it is settled.
     pub fn revoke(&mut self, entry: Incarnation, seq: DispatchSeq) -> Option<DispatchFate> {
         let record = self.entries.get_mut(&entry)?;
         if seq < record.settled_below {
@@ -89,7 +90,7 @@
         Some(fate.clone())
     }
 
-    /// Forgets everything below `settled_below`; copies of it are ignored from now on.
+    /// Drops the fates below `settled_below`. Later copies of these dispatches are ignored.
     pub fn settle(&mut self, entry: Incarnation, settled_below: DispatchSeq) {
         let Some(record) = self.entries.get_mut(&entry) else {
             return;
@@ -100,8 +101,8 @@
         }
     }
 
-    /// Answers for every outstanding dispatch of an entry that has come back. What was never
-    /// seen is refused for good, so that the entry may place it elsewhere.
+    /// Returns the fate of every outstanding dispatch of an entry that has reconnected. A dispatch
+    /// that was never seen is refused for good, and the entry may place its task elsewhere.
     pub fn reconcile(
         &mut self,
         entry: Incarnation,
@@ -123,15 +124,15 @@
         outstanding.iter().map(settle_one).collect()
     }
 
-    /// Notes that the session of an entry is gone.
+    /// Records that the session of an entry was lost.
     pub fn lost(&mut self, entry: Incarnation, now: Now) {
         if let Some(record) = self.entries.get_mut(&entry) {
             record.lost_since = Some(now);
         }
     }
 
-    /// Drops the records of entries that have been gone since before `cutoff`. If one does come
-    /// back, [`Self::open`] tells it that its dispatches are forgotten.
+    /// Drops the records of entries whose session was lost before `cutoff`. If one reconnects,
+    /// [`Self::open`] returns [`Resume::Forgotten`].
     pub fn forget_lost_before(&mut self, cutoff: Now) {
         self.entries
             .retain(|_, record| record.lost_since.is_none_or(|since| since >= cutoff));
@@ -145,8 +146,8 @@
             .map(|(entry, _)| *entry)
     }
 
-    /// Results that an entry has not settled yet and may still come for: its session stands, or
-    /// was lost since `cutoff`.
+    /// Counts the unsettled results of entries that are connected or whose session was lost since
+    /// `cutoff`.
     pub fn awaited_results(&self, cutoff: Now) -> usize {
         let awaited = self
             .entries
@@ -158,25 +159,25 @@
             .sum()
     }
 
-    /// Entries whose session was lost since `cutoff` and that may come back with questions.
-    pub fn lost_since(&self, cutoff: Now) -> usize {
+    /// Counts the entries whose session was lost since `cutoff`; they may still reconnect.
+    pub fn count_lost_since(&self, cutoff: Now) -> usize {
         let records = self.entries.values();
         records
             .filter(|record| record.lost_since.is_some_and(|since| since >= cutoff))
             .count()
     }
 
-    /// Drops an entry whose life is over.
+    /// Drops the record of an entry incarnation that has ended.
     pub fn remove(&mut self, entry: Incarnation) {
         self.entries.remove(&entry);
     }
 
-    /// Number of fates held.
+    /// Number of fates recorded.
     pub fn len(&self) -> usize {
         self.entries.values().map(|record| record.fates.len()).sum()
     }
 
-    /// Whether no fate is held.
+    /// Whether no fate is recorded.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/lib/src/permit.rs
+++ b/lib/src/permit.rs
@@ -1,9 +1,10 @@
-//! Permits: how a request that must not be repeated survives a resubmission.
+//! Permits, which let a caller safely resubmit a request that must not run twice.
 //!
-//! A permit is made before the request and names one registrar (one life of one agent) and an
-//! expiry on that registrar's own clock. The registrar lets one request run under it and keeps
-//! the outcome for whoever asks later. Once that life is over the permit is void for ever, so
-//! there is nothing to store and nothing to agree on. docs/design/not-repeatable.md weighs it.
+//! A permit is created before the request. It names one registrar, which is one incarnation of an
+//! agent, and an expiry on that registrar's own clock. The registrar lets one request run under
+//! the permit and keeps the outcome for later claims. The permit is void once that incarnation
+//! has ended, so permits need neither durable storage nor consensus.
+//! docs/design/not-repeatable.md compares the alternatives.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,26 +20,26 @@
 use crate::job::{Answer, TaskSpec};
 use crate::message::Claim;
 
-/// Names a permit: the entry life that made it, and a number.
+/// Identifies a permit by the entry incarnation that created it and a number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PermitId {
-    /// Life of the entry that made it.
+    /// Incarnation of the entry that created it.
     #[serde(rename = "e")]
     pub maker: Incarnation,
-    /// Number in that life.
+    /// Number within that incarnation.
     #[serde(rename = "n")]
     pub number: u64,
 }
 
-/// First half of the SHA-256 of a request.
+/// First eight bytes of the SHA-256 digest of a request.
 pub type RequestDigest = u64;
 
-/// A permit as its holder carries it, sealed against change.
+/// The content of a permit. Its text form carries an authentication code.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Permit {
-    /// Which one.
+    /// Identifier.
     pub id: PermitId,
-    /// The agent life that answers for it.
+    /// The agent incarnation that decides its claims.
     pub registrar: Incarnation,
     /// Expiry on the registrar's clock, in milliseconds.
     pub expires_ms: u64,
@@ -46,15 +47,15 @@
     pub team: TeamName,
 }
 
-/// A text that is no permit of this fleet.
+/// The text is not a valid permit of this fleet.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(display("not a permit of this fleet"))]
 pub struct PermitTextError;
 
-/// Length of the seal in bytes.
+/// Length in bytes of the truncated authentication code.
 const SEAL_LEN: usize = 16;
 
-/// The secret that our processes share.
+/// The secret that the processes of the fleet share.
 #[derive(Clone)]
 pub struct FleetSecret(Arc<[u8]>);
 
@@ -65,19 +66,19 @@
 }
 
 impl FleetSecret {
-    /// Wraps the text from the settings.
+    /// Creates the secret from the text in the settings.
     pub fn new(text: &str) -> Self {
         Self(Arc::from(text.as_bytes()))
     }
 
-    /// Keyed hash of some bytes for one purpose.
+    /// Computes the HMAC-SHA256 of `bytes` for one purpose.
     pub fn seal(&self, purpose: &str, bytes: &[u8]) -> [u8; 32] {
         let mut mac = self.mac(purpose);
         mac.update(bytes);
         mac.finalize().into_bytes().into()
     }
 
-    /// Checks a keyed hash, or the first part of one, in constant time.
+    /// Verifies an authentication code or a prefix of one in constant time.
     pub fn verify(&self, purpose: &str, bytes: &[u8], seal: &[u8]) -> bool {
         let mut mac = self.mac(purpose);
         mac.update(bytes);
@@ -86,7 +87,7 @@
 
     fn mac(&self, purpose: &str) -> Hmac<Sha256> {
         let mut mac =
-            Hmac::<Sha256>::new_from_slice(&self.0).expect("a key of any length is taken");
+            Hmac::<Sha256>::new_from_slice(&self.0).expect("HMAC accepts a key of any length");
         mac.update(purpose.as_bytes());
         mac.update(&[0]);
         mac
@@ -96,7 +97,7 @@
 const PERMIT_PURPOSE: &str = "permit";
 
 impl Permit {
-    /// The text that callers carry.
+    /// Encodes the permit and its authentication code as the text that callers receive.
     pub fn to_text(&self, secret: &FleetSecret) -> String {
         let mut bytes = Vec::new();
         ciborium::into_writer(self, &mut bytes).expect("writing to a vector can't fail");
@@ -105,11 +106,11 @@
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// Reads a text and checks its seal.
+    /// Decodes a permit's text and verifies its authentication code.
     pub fn from_text(text: &str, secret: &FleetSecret) -> Result<Self, PermitTextError> {
         let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| PermitTextError)?;
-        let at = bytes.len().checked_sub(SEAL_LEN).ok_or(PermitTextError)?;
-        let (body, seal) = bytes.split_at(at);
+        let body_len = bytes.len().checked_sub(SEAL_LEN).ok_or(PermitTextError)?;
+        let (body, seal) = bytes.split_at(body_len);
         if !secret.verify(PERMIT_PURPOSE, body, seal) {
             return Err(PermitTextError);
         }
@@ -117,13 +118,13 @@
     }
 }
 
-/// Digest of what a request asks for, so that a permit covers one request only.
+/// Digest of a request's team and tasks, which limits a permit to one request.
 pub fn request_digest(team: &TeamName, tasks: &[TaskSpec]) -> RequestDigest {
     let mut hasher = Sha256::new();
-    hash_text(&mut hasher, team);
+    update_with_text(&mut hasher, team);
     for task in tasks {
-        hash_text(&mut hasher, &task.kind);
-        hash_text(&mut hasher, &task.payload);
+        update_with_text(&mut hasher, &task.kind);
+        update_with_text(&mut hasher, &task.payload);
     }
     let hash = hasher.finalize();
     let mut first = [0; 8];
@@ -131,25 +132,25 @@
     u64::from_be_bytes(first)
 }
 
-fn hash_text(hasher: &mut Sha256, text: &str) {
+fn update_with_text(hasher: &mut Sha256, text: &str) {
     hasher.update((text.len() as u64).to_be_bytes());
     hasher.update(text.as_bytes());
 }
 
-/// How a claimed request ended, as the registrar keeps it.
+/// The stored outcome of a request that ran under a permit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoredAnswer {
-    /// The whole answer.
+    /// The complete answer.
     Whole(Box<Answer>),
-    /// It was too large to keep; the request has run to its end.
+    /// The request has ended, but its answer was too large to store.
     TooLarge,
 }
 
-/// Longest answer that a registrar keeps, in bytes of its results.
+/// Largest answer that a registrar stores, in bytes of its results.
 pub const MOST_STORED_BYTES: usize = 16 * 1024;
 
 impl StoredAnswer {
-    /// What to keep of an answer.
+    /// Returns the form of an answer to store.
     pub fn of(answer: &Answer) -> Self {
         let size: usize = match answer {
             Answer::Complete { results, .. } => results.iter().map(|r| r.len()).sum(),
@@ -166,24 +167,24 @@
 /// A registrar's answer to a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// The request may run, and no other ever will under this permit.
+    /// The request may run. No other request will ever run under this permit.
     Granted,
-    /// An earlier request is running under it.
+    /// An earlier request is running under the permit.
     Running,
-    /// The entry that ran an earlier request is gone: it may have run.
+    /// The entry of an earlier request is gone; that request may have run.
     Unknown,
-    /// An earlier request ended so.
+    /// An earlier request ended with this outcome.
     Ended(StoredAnswer),
-    /// The permit was used for something else.
+    /// The permit was used for a different request.
     OtherRequest,
-    /// Expired, or not this registrar's.
+    /// The permit has expired or does not belong to this registrar.
     Void,
 }
 
-/// Most permits in use at one registrar.
-const MOST_CLAIMS: usize = 50_000;
+/// Maximum number of permits in use at one registrar.
+const MAX_CLAIMS: usize = 50_000;
 
-/// The agent's side: who has claimed which permit.
+/// The agent's record of claimed permits.
 #[derive(Debug, Default)]
 pub struct Registrar {
     claims: HashMap<PermitId, ClaimRecord>,
@@ -203,8 +204,8 @@
 }
 
 impl Registrar {
-    /// Decides a claim. `now_ms` is the registrar's clock. A claim that is repeated by the same
-    /// job, because the first answer was lost, gets the same answer.
+    /// Decides a claim. `now_ms` is the registrar's clock. The job may repeat its claim if the
+    /// first answer was lost, and gets the same answer.
     pub fn claim(&mut self, claim: &Claim, now_ms: u64) -> ClaimAnswer {
         if now_ms > claim.expires_ms {
             return ClaimAnswer::Void;
@@ -212,7 +213,7 @@
         if let Some(record) = self.claims.get(&claim.permit) {
             return record.answer(claim);
         }
-        if self.claims.len() >= MOST_CLAIMS {
+        if self.claims.len() >= MAX_CLAIMS {
             return ClaimAnswer::Void;
         }
         let record = ClaimRecord {
@@ -223,17 +224,17 @@
         ClaimAnswer::Granted
     }
 
-    /// Frees a permit whose claimant has not run and will not.
+    /// Releases a permit whose claimant has not run and will not run.
     pub fn release(&mut self, claim: &Claim) {
-        let held = self.claims.get(&claim.permit);
-        let same =
-            held.is_some_and(|r| r.claim == *claim && matches!(r.state, ClaimState::Running));
-        if same {
+        let record = self.claims.get(&claim.permit);
+        let is_running =
+            record.is_some_and(|r| r.claim == *claim && matches!(r.state, ClaimState::Running));
+        if is_running {
             self.claims.remove(&claim.permit);
         }
     }
 
-    /// Keeps how a claimant's request ended.
+    /// Stores the outcome of a claimant's request.
     pub fn settle(&mut self, claim: &Claim, answer: StoredAnswer) {
         if let Some(record) = self.claims.get_mut(&claim.permit)
             && record.claim == *claim
@@ -242,7 +243,7 @@
         }
     }
 
-    /// Notes that an entry is gone for good: what it ran may or may not have run.
+    /// Records that an entry is gone for good. Whether its requests ran is then unknown.
     pub fn abandon(&mut self, entry: Incarnation) {
         for record in self.claims.values_mut() {
             if record.claim.job.entry == entry && matches!(record.state, ClaimState::Running) {
@@ -251,13 +252,13 @@
         }
     }
 
-    /// Drops what has expired; a later claim is refused by its expiry.
+    /// Drops expired claims. Later claims of the same permits are void by their expiry.
     pub fn expire(&mut self, now_ms: u64) {
         self.claims
             .retain(|_, record| record.claim.expires_ms >= now_ms);
     }
 
-    /// Permits in use.
+    /// Number of permits in use.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -1,4 +1,5 @@
-//! How an entry finds a slot for a waiting task. docs/design/placement.md weighs the ways.
+//! Policies by which an entry finds slots for waiting tasks. docs/design/placement.md compares
+//! them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,25 +14,25 @@
 use crate::message::EntryMessage;
 use crate::target_table::{Target, TargetTable};
 
-/// The ways to place tasks.
+/// The available placement policies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum PlacementMode {
-    /// Dispatch by the last reported free slots; a full agent refuses.
+    /// Dispatch by the free slots that agents last reported; a full agent refuses.
     LeastLoaded,
-    /// Reserve at sampled agents, which ask for a task when a slot falls free.
+    /// Place reservations at sampled agents, which lend a slot when one becomes free.
     LateBinding,
-    /// Agents lend free slots to entries when these ask for them.
+    /// Agents lend free slots to entries that request them.
     #[default]
     SlotGrants,
-    /// Agents lend all free slots ahead of need, in proportion to recent use.
+    /// Agents lend all free slots before they are requested, in proportion to recent use.
     SlotGrantsAhead,
 }
 
-/// A text that names no placement.
+/// The text names no placement policy.
 #[derive(Debug, Snafu)]
 #[snafu(display(
-    "`{text}` is no placement: expected least_loaded, late_binding, slot_grants or \
+    "unknown placement `{text}`: expected least_loaded, late_binding, slot_grants or \
                    slot_grants_ahead"
 ))]
 pub struct ParsePlacementError {
@@ -64,12 +65,12 @@
 }
 
 impl PlacementMode {
-    /// Whether agents lend slots to entries that tell them of waiting tasks.
+    /// Whether agents lend slots to entries that report waiting tasks to them.
     pub fn lends_on_demand(self) -> bool {
         matches!(self, Self::SlotGrants | Self::SlotGrantsAhead)
     }
 
-    /// The policy that implements it.
+    /// Creates the policy.
     pub fn build(self) -> Box<dyn Placement> {
         match self {
             Self::LeastLoaded => Box::new(LeastLoaded),
@@ -80,29 +81,29 @@
     }
 }
 
-/// What a task needs of a target.
+/// Resources that a task needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskNeed {
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
     /// Memory in MiB.
     pub memory_mib: u32,
 }
 
 impl TaskNeed {
-    /// Whether a target of this kind could ever run it.
+    /// Whether the target's total capacity suffices.
     pub fn fits(&self, target: &Target) -> bool {
         self.accelerators <= target.capacity.accelerators
             && self.memory_mib <= target.capacity.memory_mib
     }
 }
 
-/// Tasks that wait at an entry.
+/// Numbers of tasks that wait at an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Waiting {
-    /// All of them.
+    /// All tasks.
     pub tasks: u32,
-    /// Those that need an accelerator.
+    /// Tasks that need an accelerator.
     pub accelerated: u32,
 }
 
@@ -116,7 +117,7 @@
     }
 }
 
-/// A message to the agent of a target.
+/// A message to send to the agent of a target.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Signal {
     /// The agent.
@@ -125,24 +126,24 @@
     pub message: EntryMessage,
 }
 
-/// A way to place tasks. Credits in the [`TargetTable`] say where a dispatch may go now; a
-/// policy decides how they come about and in which order they are used.
+/// A placement policy. Credits in the [`TargetTable`] are slots to which the entry may dispatch
+/// now. The policy decides how the entry obtains credits and in which order it uses them.
 pub trait Placement: Send {
-    /// Its name.
+    /// The mode that selects this policy.
     fn mode(&self) -> PlacementMode;
 
-    /// The target for one task, or none: then it waits.
+    /// Chooses the target for one task. The task waits if there is none.
     fn choose(&self, need: &TaskNeed, targets: &TargetTable) -> Option<Incarnation> {
         let mut ready = targets.ready();
         ready.find(|(_, t)| need.fits(t)).map(|(id, _)| id)
     }
 
-    /// Whether reported free slots are taken for credits.
+    /// Whether the free slots that agents report count as credits.
     fn trusts_reports(&self) -> bool {
         false
     }
 
-    /// What to tell agents after tasks have come to wait or have been placed.
+    /// Returns the messages to send after tasks were queued or placed.
     fn signal(
         &self,
         waiting: Waiting,
@@ -150,13 +151,14 @@
         rng: &mut ChaCha8Rng,
     ) -> Vec<Signal>;
 
-    /// What to tell agents when tasks still wait some time after they were asked for.
+    /// Returns the messages to send when tasks still wait at the next tick.
     fn remind(&self, _: Waiting, _: &mut TargetTable, _: &mut ChaCha8Rng) -> Vec<Signal> {
         Vec::new()
     }
 }
 
-/// Baseline: believe the last report, dispatch, be refused now and then.
+/// Baseline policy: dispatches by the last reports, some of which are outdated and lead to
+/// refusals.
 struct LeastLoaded;
 
 impl Placement for LeastLoaded {
@@ -173,10 +175,11 @@
     }
 }
 
-/// Reservations for each waiting task, as in Sparrow's published result.
+/// Reservations for each waiting task, as in the Sparrow paper.
 const RESERVATIONS_PER_TASK: u32 = 2;
 
-/// Sampling with late binding: two reservations a task; an ask that finds no task is returned.
+/// Sampling with late binding: two reservations for each task. A slot that is lent when no task
+/// waits is given back.
 struct LateBinding;
 
 impl Placement for LateBinding {
@@ -190,7 +193,7 @@
         targets: &mut TargetTable,
         rng: &mut ChaCha8Rng,
     ) -> Vec<Signal> {
-        let mut signals = give_back_unused(waiting, targets);
+        let mut signals = give_back_unused_credits(waiting, targets);
         let open = open_targets(waiting, targets);
         if open.is_empty() {
             return signals;
@@ -214,7 +217,7 @@
     }
 }
 
-fn give_back_unused(waiting: Waiting, targets: &mut TargetTable) -> Vec<Signal> {
+fn give_back_unused_credits(waiting: Waiting, targets: &mut TargetTable) -> Vec<Signal> {
     if waiting.tasks > waiting.accelerated {
         return Vec::new();
     }
@@ -235,79 +238,88 @@
 fn open_targets(waiting: Waiting, targets: &TargetTable) -> Vec<Incarnation> {
     let mut open: Vec<Incarnation> = targets
         .iter()
-        .filter(|(_, t)| is_useful(waiting, t))
+        .filter(|(_, t)| can_run_waiting(waiting, t))
         .map(|(id, _)| id)
         .collect();
     open.sort_unstable();
     open
 }
 
-/// Asks one target for slots, if that adds to what was asked before.
-fn ask(targets: &mut TargetTable, target: Incarnation, wanted: u32) -> Option<Signal> {
-    let asked = targets.update(target, |t| {
-        let more = wanted > t.asked;
+/// Requests slots of one target unless as many were already requested.
+fn request_slots(targets: &mut TargetTable, target: Incarnation, wanted: u32) -> Option<Signal> {
+    let is_increase = targets.update(target, |t| {
+        let is_increase = wanted > t.asked;
         t.asked = t.asked.max(wanted);
-        more
+        is_increase
     });
     let message = EntryMessage::Demand(wanted);
-    (asked == Some(true)).then_some(Signal { target, message })
+    (is_increase == Some(true)).then_some(Signal { target, message })
 }
 
-/// Targets looked at, at the least, to ask for slots.
-const LEAST_SAMPLE: usize = 32;
+/// Minimum number of targets to sample when requesting slots.
+const MIN_SAMPLE: usize = 32;
 
-/// Some open targets in random order: all of a small fleet, and of a large one enough for the
-/// tasks that wait, so that asking does not cost more with the size of the fleet.
-fn sample_open(waiting: Waiting, targets: &TargetTable, rng: &mut ChaCha8Rng) -> Vec<Incarnation> {
-    let most = LEAST_SAMPLE.max(waiting.tasks as usize / 2);
-    if targets.len() <= most {
+/// Samples open targets in random order. The sample grows with the waiting tasks and not with the
+/// fleet, which bounds the cost of requests. A small fleet is sampled whole.
+fn sample_open_targets(
+    waiting: Waiting,
+    targets: &TargetTable,
+    rng: &mut ChaCha8Rng,
+) -> Vec<Incarnation> {
+    let sample_size = MIN_SAMPLE.max(waiting.tasks as usize / 2);
+    if targets.len() <= sample_size {
         let mut open = open_targets(waiting, targets);
         open.shuffle(rng);
         return open;
     }
-    let mut sample = targets.sample(most, rng);
-    sample.retain(|id| targets.get(*id).is_some_and(|t| is_useful(waiting, t)));
+    let mut sample = targets.sample(sample_size, rng);
+    sample.retain(|id| {
+        targets
+            .get(*id)
+            .is_some_and(|t| can_run_waiting(waiting, t))
+    });
     sample
 }
 
-fn is_useful(waiting: Waiting, target: &Target) -> bool {
+fn can_run_waiting(waiting: Waiting, target: &Target) -> bool {
     target.is_open() && target.allowance > 0 && waiting.for_target(target) > 0
 }
 
-/// Slots asked for at a time for each waiting task while no slot is seen free.
-const ASKED_PER_TASK: u32 = 1;
+/// Slots requested in total for each waiting task when too few are reported free.
+const SLOT_REQUESTS_PER_TASK: u32 = 1;
 
-/// Asks open targets in random order for slots until `most` are asked for in all: whichever
-/// target is free first is to answer.
-fn ask_widely(
+/// Requests slots of open targets in random order until `limit` slots are requested in total.
+/// The targets that have a slot free first lend it.
+fn request_slots_widely(
     waiting: Waiting,
-    most: u32,
+    limit: u32,
     targets: &mut TargetTable,
     rng: &mut ChaCha8Rng,
 ) -> Vec<Signal> {
-    let open = sample_open(waiting, targets, rng);
-    let each = most.div_ceil(open.len().max(1) as u32);
+    let open = sample_open_targets(waiting, targets, rng);
+    let per_target = limit.div_ceil(open.len().max(1) as u32);
     let mut asked = targets.asked();
     let mut signals = Vec::new();
     for target in open {
-        if asked >= most {
+        if asked >= limit {
             break;
         }
         let Some(t) = targets.get(target) else {
             continue;
         };
-        let wanted = each.min(waiting.for_target(t)).min(t.capacity.slots);
-        let more = wanted.saturating_sub(t.asked);
-        // What is asked already is raised only when it has doubled, to save messages.
+        let wanted = per_target.min(waiting.for_target(t)).min(t.capacity.slots);
+        let added = wanted.saturating_sub(t.asked);
+        // An earlier request is raised only to twice its size or more, to save messages.
         if t.asked == 0 || wanted >= t.asked * 2 {
-            asked += more;
-            signals.extend(ask(targets, target, wanted));
+            asked += added;
+            signals.extend(request_slots(targets, target, wanted));
         }
     }
     signals
 }
 
-/// Slot grants on demand: ask as many slots as tasks wait, where slots were last seen free.
+/// Slot grants on demand: requests a slot for each waiting task, first of the targets that last
+/// reported free slots.
 struct SlotGrants;
 
 impl Placement for SlotGrants {
@@ -326,24 +338,29 @@
         if missing == 0 {
             return Vec::new();
         }
-        let mut open = sample_open(waiting, targets, rng);
-        open.sort_by_key(|id| std::cmp::Reverse(targets.get(*id).map_or(0, Target::spare)));
+        let mut open = sample_open_targets(waiting, targets, rng);
+        open.sort_by_key(|id| {
+            std::cmp::Reverse(targets.get(*id).map_or(0, Target::requestable_slots))
+        });
         let mut signals = Vec::new();
         for target in open {
             let Some(t) = targets.get(target) else {
                 continue;
             };
-            let take = t.spare().min(missing).min(waiting.for_target(t));
-            if take == 0 {
+            let n = t
+                .requestable_slots()
+                .min(missing)
+                .min(waiting.for_target(t));
+            if n == 0 {
                 continue;
             }
-            missing -= take;
-            let wanted = t.asked + take;
-            signals.extend(ask(targets, target, wanted));
+            missing -= n;
+            let wanted = t.asked + n;
+            signals.extend(request_slots(targets, target, wanted));
         }
         if missing > 0 {
-            let most = waiting.tasks * ASKED_PER_TASK;
-            signals.extend(ask_widely(waiting, most, targets, rng));
+            let limit = waiting.tasks * SLOT_REQUESTS_PER_TASK;
+            signals.extend(request_slots_widely(waiting, limit, targets, rng));
         }
         signals
     }
@@ -354,12 +371,12 @@
         targets: &mut TargetTable,
         rng: &mut ChaCha8Rng,
     ) -> Vec<Signal> {
-        let most = targets.asked() + waiting.tasks;
-        ask_widely(waiting, most, targets, rng)
+        let limit = targets.asked() + waiting.tasks;
+        request_slots_widely(waiting, limit, targets, rng)
     }
 }
 
-/// Slot grants ahead of need: most tasks find a slot lent already.
+/// Slot grants ahead of need: agents lend slots before tasks arrive.
 struct SlotGrantsAhead;
 
 impl Placement for SlotGrantsAhead {
@@ -376,6 +393,6 @@
         if waiting.tasks == 0 {
             return Vec::new();
         }
-        ask_widely(waiting, u32::MAX / 2, targets, rng)
+        request_slots_widely(waiting, u32::MAX / 2, targets, rng)
     }
 }
--- a/lib/src/run_time.rs
+++ b/lib/src/run_time.rs
@@ -1,4 +1,4 @@
-//! Run times learned per team and kind, since declared ones are often far from the truth.
+//! Run times learned per team and kind, because declared run times are often wrong.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,30 +7,30 @@
 use crate::ids::TeamName;
 use crate::job::TaskSpec;
 
-/// Samples after which the declared time no longer counts.
-const TRUSTED_SAMPLES: u32 = 5;
-/// Weight of a new sample in the average.
-const NEW_WEIGHT: f64 = 0.1;
-/// A sample counts as at most so many times the average, so that one straggler does not make
-/// every later job look too long.
-const MOST_OUTLYING: f64 = 10.0;
-/// Taken for a kind that nobody has declared or run.
-const UNKNOWN: Duration = Duration::from_millis(300);
-/// The longest declared time that is believed.
-const MOST_BELIEVED: Duration = Duration::from_secs(10);
-/// Kinds remembered; beyond this the table starts anew.
-const MOST_KINDS: usize = 10_000;
+/// Number of samples from which the average replaces the declared time.
+const MIN_SAMPLES: u32 = 5;
+/// Least weight of a new sample in the averages.
+const MIN_SAMPLE_WEIGHT: f64 = 0.1;
+/// Samples are capped at this multiple of the average. Otherwise one straggler would inflate the
+/// estimates of later jobs.
+const MAX_OUTLIER_RATIO: f64 = 10.0;
+/// Estimate for a kind with neither samples nor a declared time.
+const DEFAULT_RUN_TIME: Duration = Duration::from_millis(300);
+/// Upper bound on declared times.
+const MAX_DECLARED: Duration = Duration::from_secs(10);
+/// Number of kinds at which the table is cleared.
+const MAX_KINDS: usize = 10_000;
 
 /// An estimate of a run time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RunTime {
-    /// The average.
+    /// Average run time.
     pub mean: Duration,
-    /// Long enough for nearly all runs: the average and three average deviations.
+    /// Upper bound for nearly all runs: the average plus three mean deviations.
     pub high: Duration,
 }
 
-/// Averages by team and kind.
+/// Average run times by team and kind.
 #[derive(Debug, Default)]
 pub struct RunTimes {
     kinds: HashMap<KindKey, Average>,
@@ -50,9 +50,9 @@
 }
 
 impl RunTimes {
-    /// Takes in an observed run time.
+    /// Records an observed run time.
     pub fn observe(&mut self, team: &TeamName, kind: &Arc<str>, took: Duration) {
-        if self.kinds.len() >= MOST_KINDS {
+        if self.kinds.len() >= MAX_KINDS {
             self.kinds.clear();
         }
         let key = KindKey {
@@ -69,16 +69,16 @@
             kind: task.kind.clone(),
         };
         match self.kinds.get(&key) {
-            Some(average) if average.samples >= TRUSTED_SAMPLES => average.run_time(),
-            _ => declared(task),
+            Some(average) if average.samples >= MIN_SAMPLES => average.run_time(),
+            _ => declared_run_time(task),
         }
     }
 }
 
-fn declared(task: &TaskSpec) -> RunTime {
+fn declared_run_time(task: &TaskSpec) -> RunTime {
     let mean = match task.expected_ms {
-        0 => UNKNOWN,
-        ms => Duration::from_millis(u64::from(ms)).min(MOST_BELIEVED),
+        0 => DEFAULT_RUN_TIME,
+        ms => Duration::from_millis(u64::from(ms)).min(MAX_DECLARED),
     };
     RunTime { mean, high: mean }
 }
@@ -86,11 +86,11 @@
 impl Average {
     fn add(&mut self, took: Duration) {
         let mut ms = took.as_secs_f64() * 1e3;
-        if self.samples >= TRUSTED_SAMPLES {
-            ms = ms.min(self.mean_ms * MOST_OUTLYING);
+        if self.samples >= MIN_SAMPLES {
+            ms = ms.min(self.mean_ms * MAX_OUTLIER_RATIO);
         }
         self.samples = self.samples.saturating_add(1);
-        let weight = NEW_WEIGHT.max(1.0 / f64::from(self.samples));
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.samples));
         let error = ms - self.mean_ms;
         self.mean_ms += weight * error;
         if self.samples > 1 {
--- a/lib/src/slot_table.rs
+++ b/lib/src/slot_table.rs
@@ -1,36 +1,36 @@
-//! The agent's slots: which run a task, which are lent to an entry, which are free.
+//! The agent's slots: running a task, lent to an entry, or free.
 //!
-//! Invariant: running + lent never exceeds the number of slots, so a dispatch against a lent
-//! slot never meets a full target.
+//! Invariant: running + lent never exceeds the number of slots. A dispatch to a lent slot is
+//! therefore never refused because the target is full.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::ids::SessionId;
 use crate::placement::PlacementMode;
 
-/// Share of an old weight that remains after each dispatch.
+/// Factor by which every weight decays at each dispatch.
 const WEIGHT_DECAY: f64 = 0.95;
-/// Weight of a session that has sent nothing yet.
-const BASE_WEIGHT: f64 = 0.05;
+/// Initial and least weight of a session.
+const MIN_WEIGHT: f64 = 0.05;
 
-/// A change of lent slots to tell an entry about.
+/// A change in lent slots to report to an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotNotice {
-    /// So many more slots are lent.
+    /// Number of additional slots lent to the session.
     Lend(SessionId, u32),
-    /// So many lent slots are taken back.
+    /// Number of lent slots taken back from the session.
     Recall(SessionId, u32),
 }
 
-/// Slots of one target and who holds them.
+/// Slots of one target and the sessions that borrow them.
 #[derive(Debug)]
 pub struct SlotTable {
     total: u32,
     running: u32,
     usable: bool,
     borrowers: BTreeMap<SessionId, Borrower>,
-    /// Sessions in the order in which they are served next.
-    turn: VecDeque<SessionId>,
+    /// Sessions in round-robin order, the next one first.
+    round_robin: VecDeque<SessionId>,
     /// Reservations of late binding, oldest first.
     reservations: VecDeque<SessionId>,
 }
@@ -44,14 +44,14 @@
 }
 
 impl SlotTable {
-    /// A book of `total` free slots.
+    /// Creates a table of `total` free slots.
     pub fn new(total: u32) -> Self {
         Self {
             total,
             running: 0,
             usable: true,
             borrowers: BTreeMap::new(),
-            turn: VecDeque::new(),
+            round_robin: VecDeque::new(),
             reservations: VecDeque::new(),
         }
     }
@@ -62,31 +62,31 @@
             mode,
             lent: 0,
             demand: 0,
-            weight: BASE_WEIGHT,
+            weight: MIN_WEIGHT,
         };
         self.borrowers.insert(session, borrower);
-        self.turn.push_back(session);
+        self.round_robin.push_back(session);
     }
 
-    /// Removes a session; what it had borrowed is free again.
+    /// Removes a session and frees the slots lent to it.
     pub fn close(&mut self, session: SessionId) {
         self.borrowers.remove(&session);
-        self.turn.retain(|s| *s != session);
+        self.round_robin.retain(|s| *s != session);
         self.reservations.retain(|s| *s != session);
     }
 
-    /// Stops or resumes lending, for a target that is leaving or down.
+    /// Sets whether slots may be lent. A target that is leaving or down lends none.
     pub fn set_usable(&mut self, usable: bool) {
         self.usable = usable;
     }
 
-    /// Slots neither running nor lent.
+    /// Number of slots neither running a task nor lent.
     pub fn free(&self) -> u32 {
         let lent: u32 = self.borrowers.values().map(|b| b.lent).sum();
         self.total.saturating_sub(self.running + lent)
     }
 
-    /// Slots without a task, lent or not: what an entry could get by asking.
+    /// Number of slots that run no task, lent or not, or 0 if the target can't lend.
     pub fn spare(&self) -> u32 {
         if self.usable {
             self.total.saturating_sub(self.running)
@@ -95,13 +95,13 @@
         }
     }
 
-    /// Tasks running.
+    /// Number of running tasks.
     pub fn running(&self) -> u32 {
         self.running
     }
 
     /// Takes a slot for a dispatch of `session`: a lent one if it has any, else a free one.
-    /// False if there is none.
+    /// Returns false if there is none.
     pub fn take(&mut self, session: SessionId) -> bool {
         let free = self.free();
         let Some(borrower) = self.borrowers.get_mut(&session) else {
@@ -114,19 +114,19 @@
         }
         borrower.weight += 1.0 - WEIGHT_DECAY;
         for b in self.borrowers.values_mut() {
-            b.weight = (b.weight * WEIGHT_DECAY).max(BASE_WEIGHT);
+            b.weight = (b.weight * WEIGHT_DECAY).max(MIN_WEIGHT);
         }
         self.running += 1;
         true
     }
 
-    /// Ends a task that ran.
+    /// Releases the slot of a task that has ended.
     pub fn release(&mut self) {
-        debug_assert!(self.running > 0, "a slot is released once");
+        debug_assert!(self.running > 0, "slot released twice");
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Sets how many tasks wait at an entry for slots of this target.
+    /// Sets the number of an entry's tasks that wait for slots of this target.
     pub fn set_demand(&mut self, session: SessionId, waiting: u32) {
         if let Some(borrower) = self.borrowers.get_mut(&session)
             && borrower.mode.lends_on_demand()
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Lowers the number of waiting tasks to what a dispatch says is left.
+    /// Lowers a session's demand to the number of waiting tasks that its dispatch reports.
     pub fn limit_demand(&mut self, session: SessionId, waiting: u32) {
         if let Some(borrower) = self.borrowers.get_mut(&session) {
             borrower.demand = borrower.demand.min(waiting);
@@ -144,26 +144,26 @@
 
     /// Queues reservations of late binding.
     pub fn reserve(&mut self, session: SessionId, n: u32) {
-        let room = (self.total as usize * 64).saturating_sub(self.reservations.len());
-        let n = (n as usize).min(room);
+        let unreserved = (self.total as usize * 64).saturating_sub(self.reservations.len());
+        let n = (n as usize).min(unreserved);
         self.reservations.extend(std::iter::repeat_n(session, n));
     }
 
-    /// Takes lent slots back from an entry that does not need them.
+    /// Takes back lent slots that an entry does not need.
     pub fn give_back(&mut self, session: SessionId, n: u32) {
         if let Some(borrower) = self.borrowers.get_mut(&session) {
             borrower.lent -= n.min(borrower.lent);
         }
     }
 
-    /// Lends what is free and recalls what others need more. Call after every change.
+    /// Lends free slots and recalls idle ones that other sessions need. Call after every change.
     pub fn balance(&mut self) -> Vec<SlotNotice> {
         if !self.usable {
             return Vec::new();
         }
         let mut lends = BTreeMap::new();
         self.lend_free(&mut lends);
-        let mut notices = self.recall_for_the_hungry();
+        let mut notices = self.recall_idle();
         self.lend_free(&mut lends);
         let lent = lends.into_iter();
         notices.extend(lent.map(|(session, n)| SlotNotice::Lend(session, n)));
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Takes all lent slots back, for a target that can't use them.
+    /// Takes back all lent slots of a target that can't run tasks.
     pub fn recall_all(&mut self) -> Vec<SlotNotice> {
         let mut notices = Vec::new();
         for (session, borrower) in &mut self.borrowers {
@@ -191,12 +191,12 @@
         notices
     }
 
-    /// Lends one free slot: to a waiting task first, else ahead of need.
+    /// Lends one free slot: to a reservation or a session with demand, else ahead of need.
     fn next_borrower(&mut self) -> Option<SessionId> {
         let session = self
             .take_reservation()
-            .or_else(|| self.next_hungry())
-            .or_else(|| self.next_idle())?;
+            .or_else(|| self.next_with_demand())
+            .or_else(|| self.next_ahead_of_need())?;
         let borrower = self.borrowers.get_mut(&session)?;
         borrower.lent += 1;
         borrower.demand = borrower.demand.saturating_sub(1);
@@ -207,34 +207,37 @@
         self.reservations.pop_front()
     }
 
-    /// The next session in turn that has waiting tasks.
-    fn next_hungry(&mut self) -> Option<SessionId> {
+    /// The next session in round-robin order that has waiting tasks.
+    fn next_with_demand(&mut self) -> Option<SessionId> {
         let borrowers = &self.borrowers;
-        let at = self.turn.iter().position(|s| borrowers[s].demand > 0)?;
-        let session = self.turn.remove(at)?;
-        self.turn.push_back(session);
+        let position = self
+            .round_robin
+            .iter()
+            .position(|s| borrowers[s].demand > 0)?;
+        let session = self.round_robin.remove(position)?;
+        self.round_robin.push_back(session);
         Some(session)
     }
 
-    /// The session with the fewest idle slots for its recent use.
-    fn next_idle(&self) -> Option<SessionId> {
+    /// The session with the fewest lent slots relative to its recent use.
+    fn next_ahead_of_need(&self) -> Option<SessionId> {
         self.borrowers
             .iter()
             .filter(|(_, b)| b.mode == PlacementMode::SlotGrantsAhead)
-            .min_by(|(_, a), (_, b)| a.crowding().total_cmp(&b.crowding()))
+            .min_by(|(_, a), (_, b)| a.relative_load().total_cmp(&b.relative_load()))
             .map(|(session, _)| *session)
     }
 
-    /// Takes idle slots back for sessions that wait while nothing is free. A dispatch may be on
-    /// its way to a slot taken back; it is refused then, which is proof that it did not start.
-    fn recall_for_the_hungry(&mut self) -> Vec<SlotNotice> {
+    /// Takes idle slots back for sessions with demand while no slot is free. A dispatch already on
+    /// its way to such a slot may be refused, which proves that its task did not start.
+    fn recall_idle(&mut self) -> Vec<SlotNotice> {
         if self.free() > 0 {
             return Vec::new();
         }
         let mut wanted: u32 = self.borrowers.values().map(|b| b.demand).sum();
         let mut notices = Vec::new();
         for (session, borrower) in &mut self.borrowers {
-            let n = wanted.min(borrower.idle());
+            let n = wanted.min(borrower.recallable());
             if n > 0 {
                 borrower.lent -= n;
                 wanted -= n;
@@ -246,12 +249,13 @@
 }
 
 impl Borrower {
-    fn crowding(&self) -> f64 {
+    /// Lent slots, counting one more, relative to the session's weight.
+    fn relative_load(&self) -> f64 {
         f64::from(self.lent + 1) / self.weight
     }
 
-    /// Lent slots that may be asked back: those of a session with nothing waiting.
-    fn idle(&self) -> u32 {
+    /// Number of lent slots that may be recalled: all of a session without waiting tasks.
+    fn recallable(&self) -> u32 {
         if self.mode.lends_on_demand() && self.demand == 0 {
             self.lent
         } else {
--- a/lib/src/target_table.rs
+++ b/lib/src/target_table.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of each target, and an index of those that can take a task now.
+//! An entry's state of each target, with an index of the targets that can take a task now.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -8,27 +8,27 @@
 use crate::ids::{DispatchSeq, HallName, Incarnation, JobSeq, NodeName, Now, SessionId, TaskIndex};
 use crate::message::Capacity;
 
-/// A task handed to a target whose fate is not known yet.
+/// A dispatch whose fate is not known yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Outstanding {
     /// Job of the task.
     pub job: JobSeq,
     /// Position in the job.
     pub task: TaskIndex,
-    /// When it was handed over.
+    /// When it was sent.
     pub sent_at: Now,
     /// Whether a revoke for it has been sent.
     pub revoked: bool,
 }
 
-/// One life of one agent, with its target.
+/// One incarnation of an agent, with its target.
 #[derive(Debug)]
 pub struct Target {
-    /// Name of the VM's process.
+    /// Name of the agent.
     pub name: NodeName,
     /// Data hall.
     pub hall: HallName,
-    /// What the target has.
+    /// Capacity of the target.
     pub capacity: Capacity,
     /// The live session, if any.
     pub session: Option<SessionId>,
@@ -36,23 +36,23 @@
     pub lost_at: Option<Now>,
     /// Next dispatch number.
     pub next_seq: DispatchSeq,
-    /// Dispatches without a known fate.
+    /// Dispatches whose fate is not known.
     pub outstanding: BTreeMap<DispatchSeq, Outstanding>,
-    /// Final for this life: no new work.
+    /// Whether the agent is draining and gets no new tasks. Never reset for an incarnation.
     pub leaving: bool,
-    /// Told in [`crate::message::EntryMessage::Demand`], less what was lent since.
+    /// Slots requested by [`crate::message::EntryMessage::Demand`], less those lent since.
     pub asked: u32,
-    /// Slots without a task when the agent last said so, less what was dispatched since.
+    /// Slots without a task in the agent's last report, less the dispatches since.
     pub free_seen: u32,
-    /// Reservations without an answer (late binding).
+    /// Reservations that are not answered yet (late binding).
     pub reserved: u32,
-    /// Agent's clock minus ours, in milliseconds.
+    /// The agent's clock minus this entry's, in milliseconds.
     pub clock_offset_ms: i64,
-    /// Observed run time over expected, averaged.
+    /// Average ratio of observed to expected run time.
     pub slowness: f64,
-    /// Most dispatches at a time that health allows.
+    /// Maximum number of outstanding dispatches that the health controller allows.
     pub allowance: u32,
-    /// A quiet session gets a heartbeat after this; told to the agent at the welcome.
+    /// Time without messages after which either side sends a heartbeat. The welcome carries it.
     pub heartbeat_every: Duration,
     /// When the last message was sent on the session.
     pub last_sent: Now,
@@ -60,7 +60,7 @@
 }
 
 impl Target {
-    /// A target whose agent has just said hello.
+    /// Creates the state of a target whose agent has just sent its hello.
     pub fn new(name: NodeName, hall: HallName, capacity: Capacity) -> Self {
         Self {
             name,
@@ -83,16 +83,16 @@
         }
     }
 
-    /// Slots that the entry may dispatch to.
+    /// Number of slots to which the entry may dispatch.
     pub fn credits(&self) -> u32 {
         self.credits
     }
 
-    /// Slots that asking would probably bring, beyond those asked for or lent already.
-    pub fn spare(&self) -> u32 {
-        let unasked = self.free_seen.saturating_sub(self.credits + self.asked);
-        let room = self.allowance.saturating_sub(self.outstanding.len() as u32);
-        unasked.min(room)
+    /// Number of slots that the agent would probably lend beyond those already requested or lent.
+    pub fn requestable_slots(&self) -> u32 {
+        let unrequested = self.free_seen.saturating_sub(self.credits + self.asked);
+        let allowed = self.allowance.saturating_sub(self.outstanding.len() as u32);
+        unrequested.min(allowed)
     }
 
     /// Every dispatch below this is settled.
@@ -104,12 +104,12 @@
             .unwrap_or(self.next_seq)
     }
 
-    /// Whether it may get new work at all.
+    /// Whether the target is connected and accepts new tasks.
     pub fn is_open(&self) -> bool {
         self.session.is_some() && !self.leaving
     }
 
-    fn can_take(&self) -> bool {
+    fn is_ready(&self) -> bool {
         self.is_open() && self.credits > 0 && (self.outstanding.len() as u32) < self.allowance
     }
 
@@ -117,22 +117,22 @@
         Rank {
             slowness: (self.slowness * SLOWNESS_STEPS) as u32,
             accelerators: self.capacity.accelerators.min(1),
-            used: self.capacity.slots.saturating_sub(self.credits),
+            uncredited: self.capacity.slots.saturating_sub(self.credits),
             id,
         }
     }
 }
 
-/// Slowness is compared in steps of half the expected run time.
+/// Number of steps per unit of slowness when targets are ranked.
 const SLOWNESS_STEPS: f64 = 2.0;
 
-/// Order in which targets are preferred: first those that run at the expected speed, then
-/// those without accelerators, then those with the most credits.
+/// Order of preference: targets that run at the expected speed first, then those without
+/// accelerators, then those with the most credits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     slowness: u32,
     accelerators: u32,
-    used: u32,
+    uncredited: u32,
     id: Incarnation,
 }
 
@@ -142,23 +142,24 @@
     targets: HashMap<Incarnation, Target>,
     sessions: HashMap<SessionId, Incarnation>,
     ranked: BTreeSet<Rank>,
-    /// Ids in the order of arrival, to pick from at random.
-    order: Vec<Incarnation>,
-    /// Sums over all targets, kept in step by [`Self::update`].
-    sums: Sums,
-    /// Next dispatch number of lives that were given up, should one come back after all.
+    /// Ids in order of arrival, for random sampling.
+    sampling_order: Vec<Incarnation>,
+    /// Totals over all targets, kept current by [`Self::insert`], [`Self::update`] and
+    /// [`Self::retire`].
+    totals: Totals,
+    /// Next dispatch number of retired incarnations, in case one reconnects.
     retired: HashMap<Incarnation, DispatchSeq>,
 }
 
-/// What is often asked of all targets together.
+/// Frequently read totals over all targets.
 #[derive(Debug, Clone, Copy, Default)]
-struct Sums {
+struct Totals {
     open_slots: u32,
     asked: u32,
     outstanding: usize,
 }
 
-impl Sums {
+impl Totals {
     fn of(target: &Target) -> Self {
         let open = target.is_open();
         Self {
@@ -185,29 +186,29 @@
     }
 }
 
-/// Lives remembered after they were given up.
-const MOST_RETIRED: usize = 20_000;
+/// Maximum number of retired incarnations to remember.
+const MAX_RETIRED: usize = 20_000;
 
 impl TargetTable {
-    /// Adds a target unless it is there. A life that had been given up goes on with its
-    /// numbers, so that none is used twice.
+    /// Adds a target unless it is present. A retired incarnation continues its dispatch numbers,
+    /// so none is used twice.
     pub fn insert(&mut self, id: Incarnation, mut target: Target) {
         if let Some(next_seq) = self.retired.remove(&id) {
             target.next_seq = next_seq;
         }
         if !self.targets.contains_key(&id) {
-            self.sums.add(Sums::of(&target));
+            self.totals.add(Totals::of(&target));
             self.targets.insert(id, target);
-            self.order.push(id);
+            self.sampling_order.push(id);
         }
     }
 
-    /// Gives a life up.
+    /// Removes an incarnation and remembers its next dispatch number.
     pub fn retire(&mut self, id: Incarnation) -> Option<Target> {
         let target = self.targets.remove(&id)?;
-        self.sums.remove(Sums::of(&target));
-        self.order.retain(|other| *other != id);
-        if self.retired.len() >= MOST_RETIRED {
+        self.totals.remove(Totals::of(&target));
+        self.sampling_order.retain(|other| *other != id);
+        if self.retired.len() >= MAX_RETIRED {
             self.retired.clear();
         }
         self.retired.insert(id, target.next_seq);
@@ -218,30 +219,30 @@
         Some(target)
     }
 
-    /// Looks a target up.
+    /// Returns a target.
     pub fn get(&self, id: Incarnation) -> Option<&Target> {
         self.targets.get(&id)
     }
 
-    /// The agent behind a session.
+    /// Returns the agent of a session.
     pub fn by_session(&self, session: SessionId) -> Option<Incarnation> {
         self.sessions.get(&session).copied()
     }
 
-    /// Changes a target and keeps the index in step.
+    /// Updates a target, the index and the totals.
     pub fn update<T>(&mut self, id: Incarnation, f: impl FnOnce(&mut Target) -> T) -> Option<T> {
         let target = self.targets.get_mut(&id)?;
         self.ranked.remove(&target.rank(id));
-        self.sums.remove(Sums::of(target));
+        self.totals.remove(Totals::of(target));
         let result = f(target);
-        self.sums.add(Sums::of(target));
-        if target.can_take() {
+        self.totals.add(Totals::of(target));
+        if target.is_ready() {
             self.ranked.insert(target.rank(id));
         }
         Some(result)
     }
 
-    /// Changes the credits of a target.
+    /// Sets the credits of a target.
     pub fn set_credits(&mut self, id: Incarnation, credits: u32) {
         self.update(id, |t| t.credits = credits);
     }
@@ -251,7 +252,7 @@
         self.update(id, |t| t.credits = t.credits.saturating_add(n));
     }
 
-    /// Takes up to `n` credits; returns how many.
+    /// Takes up to `n` credits and returns the number taken.
     pub fn take_credits(&mut self, id: Incarnation, n: u32) -> u32 {
         self.update(id, |t| {
             let taken = n.min(t.credits);
@@ -261,7 +262,7 @@
         .unwrap_or(0)
     }
 
-    /// Binds a session to a target; an older session of the same life is returned.
+    /// Binds a session to a target and returns the previous session, if any.
     pub fn attach(&mut self, id: Incarnation, session: SessionId) -> Option<SessionId> {
         let old = self.update(id, |t| {
             t.credits = 0;
@@ -277,7 +278,7 @@
         old
     }
 
-    /// Unbinds a session; returns its agent.
+    /// Unbinds a session and returns its agent.
     pub fn detach(&mut self, session: SessionId, now: Now) -> Option<Incarnation> {
         let id = self.sessions.remove(&session)?;
         self.update(id, |t| {
@@ -290,7 +291,7 @@
         Some(id)
     }
 
-    /// Targets that can take a task now, the preferred first.
+    /// Targets that can take a task now, in order of preference.
     pub fn ready(&self) -> impl Iterator<Item = (Incarnation, &Target)> + '_ {
         self.ranked
             .iter()
@@ -302,32 +303,39 @@
         self.targets.iter().map(|(id, target)| (*id, target))
     }
 
-    /// Up to `n` different targets, picked at random from a fixed order.
+    /// Up to `n` distinct targets chosen at random.
     pub fn sample(&self, n: usize, rng: &mut ChaCha8Rng) -> Vec<Incarnation> {
-        let picked = rand::seq::index::sample(rng, self.order.len(), n.min(self.order.len()));
-        picked.iter().map(|index| self.order[index]).collect()
+        let picked = rand::seq::index::sample(
+            rng,
+            self.sampling_order.len(),
+            n.min(self.sampling_order.len()),
+        );
+        picked
+            .iter()
+            .map(|index| self.sampling_order[index])
+            .collect()
     }
 
-    /// Ids of all targets in a fixed order.
+    /// Ids of all targets in ascending order.
     pub fn sorted_ids(&self) -> Vec<Incarnation> {
         let mut ids: Vec<Incarnation> = self.targets.keys().copied().collect();
         ids.sort_unstable();
         ids
     }
 
-    /// Slots of the targets that may get new work.
+    /// Number of slots of open targets, limited by their allowances.
     pub fn open_slots(&self) -> u32 {
-        self.sums.open_slots
+        self.totals.open_slots
     }
 
-    /// Slots asked for and not lent yet.
+    /// Number of slots requested and not lent yet.
     pub fn asked(&self) -> u32 {
-        self.sums.asked
+        self.totals.asked
     }
 
-    /// Dispatches without a known fate.
+    /// Number of dispatches whose fate is not known.
     pub fn outstanding(&self) -> usize {
-        self.sums.outstanding
+        self.totals.outstanding
     }
 
     /// Number of targets.
