--- a/lib/tests/test_agent.rs
+++ b/lib/tests/test_agent.rs
@@ -1,4 +1,4 @@
-//! Contract of the agent's core: what it refuses, and when it may end.
+//! The agent's core: which dispatches it refuses, and when it may stop.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 const ENTRY: u64 = 9;
 const SECOND: Duration = Duration::from_secs(1);
 
-struct Driven {
+struct AgentHarness {
     core: AgentCore,
     now: Duration,
     sent: u64,
     session: u64,
 }
 
-impl Driven {
+impl AgentHarness {
     fn new() -> Self {
         let core = AgentCore::new(AgentOptions {
             name: "target".into(),
@@ -35,21 +35,21 @@
             entries: Vec::new(),
             drain_limit: 30 * SECOND,
         });
-        let mut driven = Self {
+        let mut agent = Self {
             core,
             now: SECOND,
             sent: 0,
             session: 0,
         };
-        driven.connect(false, Vec::new());
-        driven
+        agent.connect(false, Vec::new());
+        agent
     }
 
     fn connect(&mut self, resume: bool, outstanding: Vec<u64>) -> Vec<AgentMessage> {
         self.session += 1;
         self.sent = 0;
         self.event(AgentEvent::EntryConnected(self.session));
-        self.tell(EntryMessage::Welcome(Welcome {
+        self.deliver(EntryMessage::Welcome(Welcome {
             name: "entry".into(),
             incarnation: ENTRY,
             placement: PlacementMode::SlotGrants,
@@ -66,7 +66,7 @@
         self.core.handle(self.now, event)
     }
 
-    fn tell(&mut self, message: EntryMessage) -> Vec<AgentMessage> {
+    fn deliver(&mut self, message: EntryMessage) -> Vec<AgentMessage> {
         self.sent += 1;
         let frame = Frame {
             n: self.sent,
@@ -77,7 +77,7 @@
     }
 
     fn dispatch(&mut self, seq: u64, memory_mib: u32) -> Vec<AgentMessage> {
-        self.tell(EntryMessage::Dispatch(Dispatch {
+        self.deliver(EntryMessage::Dispatch(Dispatch {
             seq,
             settled_below: 1,
             job: JobId {
@@ -101,8 +101,8 @@
         messages_of(self.event(AgentEvent::RunEnded { run, end }))
     }
 
-    /// Lets time pass tick by tick; true if the core wants to stop.
-    fn pass(&mut self, length: Duration) -> bool {
+    /// Advances the clock in ticks; returns true if the core asked to stop.
+    fn advance(&mut self, length: Duration) -> bool {
         let end = self.now + length;
         let mut stops = false;
         while self.now < end {
@@ -131,7 +131,7 @@
 
 #[test]
 fn test_dispatch_refused_by_case() {
-    let mut full = Driven::new();
+    let mut full = AgentHarness::new();
     assert_eq!(refusal_of(&full.dispatch(1, 10)), None);
     assert_eq!(refusal_of(&full.dispatch(2, 10)), None);
     assert_eq!(
@@ -139,20 +139,20 @@
         Some(DispatchRefusal::Full)
     );
 
-    let mut large = Driven::new();
+    let mut large = AgentHarness::new();
     assert_eq!(
         refusal_of(&large.dispatch(1, 101)),
         Some(DispatchRefusal::Resources)
     );
 
-    let mut leaving = Driven::new();
+    let mut leaving = AgentHarness::new();
     leaving.event(AgentEvent::Drain);
     assert_eq!(
         refusal_of(&leaving.dispatch(1, 10)),
         Some(DispatchRefusal::Leaving)
     );
 
-    let mut down = Driven::new();
+    let mut down = AgentHarness::new();
     down.dispatch(1, 10);
     let ended = down.end(1, RunEnd::NotStarted);
     assert_eq!(refusal_of(&ended), Some(DispatchRefusal::TargetDown));
@@ -164,51 +164,58 @@
 
 #[test]
 fn test_dispatch_copy_starts_nothing() {
-    let mut driven = Driven::new();
-    driven.dispatch(1, 10);
-    driven.dispatch(1, 10);
-    assert_eq!(driven.core.running(), 1);
+    let mut agent = AgentHarness::new();
+    agent.dispatch(1, 10);
+    agent.dispatch(1, 10);
+    assert_eq!(agent.core.running(), 1);
 }
 
 #[test]
-fn test_resume_denies_the_never_seen_for_good() {
-    let mut driven = Driven::new();
-    driven.dispatch(1, 10);
-    driven.event(AgentEvent::EntryClosed(1));
-    let told = driven.connect(true, vec![1, 2]);
-    let fates = told.into_iter().find_map(|message| match message {
+fn test_resume_refuses_unseen_dispatches_for_good() {
+    let mut agent = AgentHarness::new();
+    agent.dispatch(1, 10);
+    agent.event(AgentEvent::EntryClosed(1));
+    let messages = agent.connect(true, vec![1, 2]);
+    let fates = messages.into_iter().find_map(|message| match message {
         AgentMessage::Reconciled(fates) => Some(fates),
         _ => None,
     });
-    let fates: Vec<DispatchFate> = fates.expect("told").into_iter().map(|f| f.fate).collect();
+    let fates: Vec<DispatchFate> = fates
+        .expect("the fates are reported")
+        .into_iter()
+        .map(|f| f.fate)
+        .collect();
     let never_seen = DispatchFate::Refused(DispatchRefusal::NeverSeen);
     assert_eq!(fates, [DispatchFate::Running, never_seen]);
-    driven.dispatch(2, 10);
-    assert_eq!(driven.core.running(), 1, "a late copy starts nothing");
+    agent.dispatch(2, 10);
+    assert_eq!(agent.core.running(), 1, "a late copy starts nothing");
 }
 
 #[test]
 fn test_drain_waits_for_results_to_be_settled() {
-    let mut driven = Driven::new();
-    driven.dispatch(1, 10);
-    driven.event(AgentEvent::Drain);
+    let mut agent = AgentHarness::new();
+    agent.dispatch(1, 10);
+    agent.event(AgentEvent::Drain);
     let outcome = TaskOutcome::Succeeded("done".into());
-    driven.end(1, RunEnd::Ended(outcome));
-    assert!(!driven.pass(2 * SECOND), "the result may not have arrived");
-    driven.tell(EntryMessage::Heartbeat { settled_below: 2 });
-    assert!(!driven.pass(SECOND), "a dispatch may be on its way");
-    driven.tell(EntryMessage::Released { settled_below: 2 });
-    assert!(driven.pass(SECOND));
+    agent.end(1, RunEnd::Ended(outcome));
+    assert!(
+        !agent.advance(2 * SECOND),
+        "the result may not have arrived"
+    );
+    agent.deliver(EntryMessage::Heartbeat { settled_below: 2 });
+    assert!(!agent.advance(SECOND), "a dispatch may be on its way");
+    agent.deliver(EntryMessage::Released { settled_below: 2 });
+    assert!(agent.advance(SECOND));
 }
 
 #[test]
 fn test_pause_drops_the_backlog() {
-    let mut driven = Driven::new();
-    driven.now += 5 * SECOND;
-    driven.dispatch(1, 10);
+    let mut agent = AgentHarness::new();
+    agent.now += 5 * SECOND;
+    agent.dispatch(1, 10);
     assert_eq!(
-        driven.core.running(),
+        agent.core.running(),
         0,
-        "what queued up meanwhile is stale"
+        "dispatches queued during the pause are stale"
     );
 }
--- a/lib/tests/test_batch_entry.rs
+++ b/lib/tests/test_batch_entry.rs
@@ -1,4 +1,4 @@
-//! Single decisions of the platform's entry, event by event.
+//! Decisions of the entry core for the platform, event by event.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
     entry_with_link(None)
 }
 
-/// An entry whose link carries so many bytes a second.
+/// An entry whose link carries `link_rate` bytes a second.
 fn entry_with_link(link_rate: Option<f64>) -> BatchEntryCore {
     BatchEntryCore::new(EntryOptions {
         name: "entry".into(),
@@ -111,14 +111,14 @@
     assert_eq!(replies(&entry.handle(ms(1), submission(5))), []);
     assert_eq!(entry.levels().batches, 0);
     assert_eq!(replies(&entry.handle(ms(20), config())), []);
-    assert_eq!(entry.levels().batches, 1, "it is taken in");
+    assert_eq!(entry.levels().batches, 1, "the batch is admitted");
 }
 
 #[test]
 fn test_handle_batch_without_configuration_is_refused_in_time() {
     let mut entry = entry();
     entry.handle(ms(1), submission(5));
-    let wake = entry.next_wake().expect("it is looked at again");
+    let wake = entry.next_wake().expect("the entry checks the batch again");
     assert!(wake <= ms(150), "{wake:?}");
     let answered = replies(&entry.handle(wake, EntryEvent::Wake));
     assert_eq!(answered.len(), 1);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn test_handle_batch_of_a_queue_with_advice_is_refused_as_not_run() {
+fn test_handle_batch_of_a_queue_with_advice_is_refused_as_unsupported() {
     let mut entry = entry();
     entry.handle(ms(1), config_of(true));
     let answered = replies(&entry.handle(ms(2), submission(5)));
@@ -139,12 +139,12 @@
 }
 
 #[test]
-fn test_handle_batch_that_outlasts_a_drain_may_go_elsewhere_at_once() {
+fn test_handle_batch_that_outlasts_a_drain_may_be_retried_at_once() {
     let mut entry = entry();
     entry.handle(ms(1), config());
     entry.handle(ms(2), EntryEvent::Drain);
-    // Until the balancer has let go, everything is served; near the end, what can't be finished
-    // is not begun.
+    // The entry serves everything until the balancer stops sending. Near the end of the drain it
+    // refuses batches that it can't finish.
     let late = Timings::default().entry_stop - ms(100);
     entry.handle(ms(3), submission(4));
     let answered = replies(&entry.handle(late, submission(5)));
@@ -178,7 +178,7 @@
     assert_eq!(entry.levels().batches, 0);
 }
 
-/// Has an agent with a target of the queue's service join on a link, from a hall.
+/// Connects an agent in `hall` on `link`, with a target of the queue's service.
 fn join(entry: &mut BatchEntryCore, now: Now, link: SessionId, hall: &str) -> Vec<EntryAction> {
     let intro = AgentIntro {
         name: format!("agent-{link}").into(),
@@ -229,7 +229,7 @@
     }))
 }
 
-/// Links on which starts were ordered.
+/// Links on which the entry ordered starts.
 fn ordered(actions: &[EntryAction]) -> Vec<SessionId> {
     let links = actions.iter().filter_map(|a| match a {
         EntryAction::Send(link, Packet::FromEntry(packet)) => {
@@ -242,13 +242,13 @@
 }
 
 #[test]
-fn test_handle_evacuated_hall_is_left_out() {
+fn test_handle_evacuated_hall_gets_no_work() {
     let mut entry = entry();
     entry.handle(ms(1), config());
-    // The evacuation comes before one agent joins and after the other has.
+    // One agent joins before the evacuation, the other after it.
     join(&mut entry, ms(2), 1, "maadi");
-    let told = entry.handle(ms(4), evacuated(3, &["maadi"]));
-    let is_told = |a: &EntryAction| match a {
+    let actions = entry.handle(ms(4), evacuated(3, &["maadi"]));
+    let tells_agent = |a: &EntryAction| match a {
         EntryAction::Send(1, Packet::FromEntry(packet)) => packet
             .orders
             .iter()
@@ -256,8 +256,8 @@
         _ => false,
     };
     assert!(
-        told.iter().any(is_told),
-        "its agent hears at once: {told:?}"
+        actions.iter().any(tells_agent),
+        "its agent is told at once: {actions:?}"
     );
     join(&mut entry, ms(5), 2, "maadi");
     join(&mut entry, ms(6), 3, "giza");
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn test_handle_evacuation_of_all_targets_refuses_at_once_and_says_when_to_return() {
+fn test_handle_evacuation_of_all_targets_refuses_at_once_with_retry_after() {
     let mut entry = entry();
     entry.handle(ms(1), config());
     join(&mut entry, ms(2), 1, "maadi");
@@ -282,7 +282,7 @@
         retry_after: Some(ms(2_000)),
     };
     assert_eq!(answered, [(5, expected)]);
-    // Callers are told so by an entry; if none were ready, they would be told nothing.
+    // The entry stays ready, since only a ready entry gets requests that it can refuse.
     assert!(entry.is_ready());
     entry.handle(ms(20), evacuated(4, &[]));
     let actions = entry.handle(ms(21), submission(6));
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn test_handle_evacuation_refuses_what_waits_and_has_not_begun() {
+fn test_handle_evacuation_refuses_waiting_batches_without_runs() {
     let mut entry = entry();
     entry.handle(ms(1), config());
     join(&mut entry, ms(2), 1, "maadi");
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn test_handle_evacuations_pass_between_entries_and_never_go_back() {
+fn test_handle_evacuations_pass_between_entries_and_ignore_older_states() {
     let mut entry = entry();
     entry.handle(ms(1), config());
     join(&mut entry, ms(2), 1, "maadi");
@@ -346,23 +346,23 @@
         from_peer(PeerNews::Evacuations(state(8, &["maadi"]))),
     );
     assert_eq!(entry.levels().evacuated_halls, 1);
-    // A stale answer of the store.
+    // A stale answer from the store.
     entry.handle(ms(7), evacuated(7, &[]));
     assert_eq!(entry.levels().evacuated_halls, 1);
-    // News go to the peer, unless it told them itself.
+    // A new state is sent to peers, except to the peer that sent it.
     let actions = entry.handle(ms(8), evacuated(9, &[]));
-    let tells = actions.iter().any(|a| match a {
+    let is_forwarded = actions.iter().any(|a| match a {
         EntryAction::Send(9, Packet::BetweenEntries(packet)) => packet
             .news
             .iter()
             .any(|n| matches!(n, PeerNews::Evacuations(s) if s.place == 9)),
         _ => false,
     });
-    assert!(tells, "{actions:?}");
+    assert!(is_forwarded, "{actions:?}");
 }
 
-/// A batch of tasks of 2,000 thousandths of a core, with a payload that can't be packed.
-fn wide(request: RequestId, tasks: u32) -> EntryEvent {
+/// A batch of tasks of two cores each, with a payload that is too short to compress.
+fn batch_of_tasks(request: RequestId, tasks: u32) -> EntryEvent {
     match submission(request) {
         EntryEvent::Submit(mut submission) => {
             let step = &mut submission.spec.steps[0];
@@ -375,7 +375,7 @@
     }
 }
 
-/// An order to start: the link, whether the payload came with it, and the runs.
+/// A start order: the link, whether it carries the payload, and the runs.
 type SentStart = (SessionId, bool, Vec<(u16, u32)>);
 
 fn starts(actions: &[EntryAction]) -> Vec<SentStart> {
@@ -425,7 +425,7 @@
     let mut entry = entry();
     entry.handle(ms(1), config());
     join(&mut entry, ms(2), 1, "hall");
-    let actions = entry.handle(ms(10), wide(5, 1));
+    let actions = entry.handle(ms(10), batch_of_tasks(5, 1));
     assert_eq!(starts(&actions), [(1, true, vec![(0, 1)])]);
     let actions = not_started(&mut entry, ms(20), NotStarted::Full, 1);
     assert_eq!(starts(&actions), [(1, false, vec![(0, 2)])]);
@@ -434,17 +434,17 @@
 }
 
 #[test]
-fn test_handle_starts_wait_in_the_entry_and_not_in_its_link() {
-    // 200 bytes a payload and 170 around it: 37 ms of this link.
+fn test_handle_starts_are_paced_by_the_link_rate() {
+    // A start takes about 370 bytes with its payload, which is 37 ms on this link.
     let mut entry = entry_with_link(Some(10_000.0));
     entry.handle(ms(1), config());
     for link in 1..=4 {
         join(&mut entry, ms(2), link, "hall");
     }
-    // What was said at the joining has gone through the link.
-    let actions = entry.handle(ms(400), wide(5, 4));
+    // The messages sent at the join have left the link by now.
+    let actions = entry.handle(ms(400), batch_of_tasks(5, 4));
     assert_eq!(starts(&actions).len(), 1, "{:?}", starts(&actions));
-    // An answer or a stop has to wait for one order at the most, and the rest goes on by itself.
+    // An answer or a stop waits for one order at most. The other starts follow on later wakes.
     let mut at = ms(400);
     let mut placed = starts(&actions).iter().map(|s| s.2.len()).sum::<usize>();
     while placed < 4 {
@@ -460,7 +460,7 @@
 
 #[test]
 fn test_is_slow_everywhere_replaces_a_wrong_estimate() {
-    let EntryEvent::Submit(submission) = wide(5, 2) else {
+    let EntryEvent::Submit(submission) = batch_of_tasks(5, 2) else {
         panic!("a submission");
     };
     let EntryEvent::Config(table) = config() else {
@@ -478,7 +478,7 @@
     let mut batch = Batch::new(&submission.spec, "work".into(), queue, 1, times);
     let step = &mut batch.steps[0];
     let (first, second) = ("agent-1".into(), "agent-2".into());
-    // One target may be slow by itself, however often it says so.
+    // Repeated reports from one target don't count: the target itself may be slow.
     assert!(!step.is_slow_everywhere(&first, ms(900)));
     assert!(!step.is_slow_everywhere(&first, ms(800)));
     assert_eq!(step.spec.estimate, ms(100));
--- a/lib/tests/test_config_chain.rs
+++ b/lib/tests/test_config_chain.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force: contract of the chain, and orders that nobody listed.
+//! Which configuration is in force, in single cases and in any order of events.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -89,7 +89,7 @@
     log.expire_below(1);
     let mut fresh = ConfigChain::default();
     read(&mut fresh, &log);
-    // The loser of the race is all that is left; it must not be taken for the head.
+    // Only the change that lost the race is left. It must not become the head.
     assert_eq!(fresh.document(), None);
     assert!(!fresh.is_current());
 }
@@ -109,8 +109,8 @@
 
 #[test]
 fn test_read_snapshot_of_same_head_fills_gap() {
-    // Found by test_chain_any_order: a snapshot that only extends what is held must not skip
-    // the change between its state and itself.
+    // A snapshot of the state that a reader already holds must not skip the change between that
+    // state and the snapshot.
     let log = MemoryLog::default();
     log.append_now(change(1, ConfigStamp::default()))
         .expect("up");
@@ -131,7 +131,7 @@
 }
 
 #[derive(Debug, Clone)]
-enum Happens {
+enum Step {
     Change { reader: usize },
     Snapshot { reader: usize },
     Read { reader: usize },
@@ -141,58 +141,58 @@
 
 const READERS: usize = 3;
 
-fn happens() -> impl Strategy<Value = Happens> {
+fn step() -> impl Strategy<Value = Step> {
     let reader = 0..READERS;
     prop_oneof![
-        3 => reader.clone().prop_map(|reader| Happens::Change { reader }),
-        2 => reader.clone().prop_map(|reader| Happens::Snapshot { reader }),
-        5 => reader.clone().prop_map(|reader| Happens::Read { reader }),
-        2 => (reader.clone(), reader.clone()).prop_map(|(from, to)| Happens::Gossip { from, to }),
-        1 => reader.prop_map(|reader| Happens::Restart { reader }),
+        3 => reader.clone().prop_map(|reader| Step::Change { reader }),
+        2 => reader.clone().prop_map(|reader| Step::Snapshot { reader }),
+        5 => reader.clone().prop_map(|reader| Step::Read { reader }),
+        2 => (reader.clone(), reader.clone()).prop_map(|(from, to)| Step::Gossip { from, to }),
+        1 => reader.prop_map(|reader| Step::Restart { reader }),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the order of reads, races, late snapshots, gossip, restarts and expiry: nobody
-    /// goes back, and all who read to the end agree with one who read every record.
+    /// In any order of reads, races, late snapshots, gossip, restarts and expiry, no reader goes
+    /// back to an older version, and each current reader agrees with one that read every record.
     #[test]
-    fn test_chain_any_order(events in proptest::collection::vec(happens(), 1..60), expire in 0u64..20) {
+    fn test_chain_any_order(events in proptest::collection::vec(step(), 1..60), expire in 0u64..20) {
         let log = MemoryLog::default();
-        let mut truth = ConfigChain::default();
+        let mut reference = ConfigChain::default();
         let mut readers: Vec<ConfigChain> = (0..READERS).map(|_| ConfigChain::default()).collect();
         let mut nonce = 10;
         for event in events {
             match event {
-                Happens::Change { reader } => {
+                Step::Change { reader } => {
                     nonce += 1;
                     log.append_now(change(nonce, readers[reader].stamp())).expect("up");
                 }
-                Happens::Snapshot { reader } => {
+                Step::Snapshot { reader } => {
                     if let Some(state) = readers[reader].state().cloned() {
                         log.append_now(LogRecord::Snapshot { state }).expect("up");
                     }
                 }
-                Happens::Read { reader } => {
+                Step::Read { reader } => {
                     let before = readers[reader].stamp();
                     read(&mut readers[reader], &log);
                     prop_assert!(readers[reader].stamp().version >= before.version);
                 }
-                Happens::Gossip { from, to } => {
+                Step::Gossip { from, to } => {
                     if let Some(state) = readers[from].state().cloned() {
                         readers[to].adopt(&state);
                     }
                 }
-                Happens::Restart { reader } => readers[reader] = ConfigChain::default(),
+                Step::Restart { reader } => readers[reader] = ConfigChain::default(),
             }
-            read(&mut truth, &log);
+            read(&mut reference, &log);
         }
         log.expire_below(expire.min(log.end()));
         for reader in &mut readers {
             read(reader, &log);
             if reader.is_current() {
-                prop_assert_eq!(reader.stamp(), truth.stamp());
+                prop_assert_eq!(reader.stamp(), reference.stamp());
             }
         }
     }
--- a/lib/tests/test_controllers.rs
+++ b/lib/tests/test_controllers.rs
@@ -1,4 +1,4 @@
-//! Contracts of the small controllers: frames, slots, health, quotas, run times.
+//! Frame order, slot lending, target health, quotas and run time estimates.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,60 +29,60 @@
     }
 }
 
-fn book(slots: u32) -> SlotTable {
-    let mut book = SlotTable::new(slots);
-    book.open(1, PlacementMode::SlotGrants);
-    book.open(2, PlacementMode::SlotGrants);
-    book
+fn table(slots: u32) -> SlotTable {
+    let mut table = SlotTable::new(slots);
+    table.open(1, PlacementMode::SlotGrants);
+    table.open(2, PlacementMode::SlotGrants);
+    table
 }
 
 #[test]
 fn test_balance_lends_only_on_demand() {
-    let mut book = book(4);
-    assert_eq!(book.balance(), []);
-    book.set_demand(1, 3);
-    assert_eq!(book.balance(), [SlotNotice::Lend(1, 3)]);
-    assert_eq!(book.free(), 1);
+    let mut table = table(4);
+    assert_eq!(table.balance(), []);
+    table.set_demand(1, 3);
+    assert_eq!(table.balance(), [SlotNotice::Lend(1, 3)]);
+    assert_eq!(table.free(), 1);
 }
 
 #[test]
-fn test_balance_shares_by_turns() {
-    let mut book = book(4);
-    book.set_demand(1, 4);
-    book.set_demand(2, 4);
+fn test_balance_shares_evenly() {
+    let mut table = table(4);
+    table.set_demand(1, 4);
+    table.set_demand(2, 4);
     assert_eq!(
-        book.balance(),
+        table.balance(),
         [SlotNotice::Lend(1, 2), SlotNotice::Lend(2, 2)]
     );
 }
 
 #[test]
-fn test_balance_recalls_idle_for_hungry() {
-    let mut book = book(2);
-    book.set_demand(1, 2);
-    book.balance();
-    book.set_demand(2, 1);
+fn test_balance_recalls_idle_slots_on_demand() {
+    let mut table = table(2);
+    table.set_demand(1, 2);
+    table.balance();
+    table.set_demand(2, 1);
     assert_eq!(
-        book.balance(),
+        table.balance(),
         [SlotNotice::Recall(1, 1), SlotNotice::Lend(2, 1)]
     );
-    // A dispatch that crosses the recall finds no slot; it is refused, not queued.
-    assert!(book.take(1));
-    assert!(!book.take(1));
+    // A dispatch that was sent before the recall arrived is refused, not queued.
+    assert!(table.take(1));
+    assert!(!table.take(1));
 }
 
 #[test]
-fn test_close_frees_what_was_lent() {
-    let mut book = book(2);
-    book.set_demand(1, 2);
-    book.balance();
-    book.close(1);
-    assert_eq!(book.free(), 2);
+fn test_close_frees_lent_slots() {
+    let mut table = table(2);
+    table.set_demand(1, 2);
+    table.balance();
+    table.close(1);
+    assert_eq!(table.free(), 2);
 }
 
 const NOW: Duration = Duration::from_secs(10);
 
-fn watched(targets: u64) -> HealthController {
+fn healthy_targets(targets: u64) -> HealthController {
     let mut health = HealthController::default();
     for target in 0..targets {
         health.add(target);
@@ -95,7 +95,7 @@
 
 #[test]
 fn test_observe_failing_target_is_set_aside_and_probed() {
-    let mut health = watched(10);
+    let mut health = healthy_targets(10);
     let mut change = None;
     for job in 100..103 {
         change = health.observe(3, job, Ending::Bad, NOW);
@@ -114,8 +114,8 @@
 }
 
 #[test]
-fn test_observe_failing_job_sets_nobody_aside() {
-    let mut health = watched(10);
+fn test_observe_failing_job_sets_no_target_aside() {
+    let mut health = healthy_targets(10);
     let changes: Vec<_> = (0..10)
         .filter_map(|_| health.observe(3, 100, Ending::Bad, NOW))
         .collect();
@@ -123,8 +123,8 @@
 }
 
 #[test]
-fn test_observe_shared_cause_keeps_the_floor() {
-    let mut health = watched(9);
+fn test_observe_failures_everywhere_set_few_targets_aside() {
+    let mut health = healthy_targets(9);
     for job in 100..200 {
         for target in 0..9 {
             health.observe(target, job, Ending::Bad, NOW);
--- a/lib/tests/test_daemons.rs
+++ b/lib/tests/test_daemons.rs
@@ -1,4 +1,4 @@
-//! Real daemons on loopback sockets: contracts of HTTP, of links, and of an orderly stop.
+//! Real daemons on loopback sockets: the HTTP interface, links and graceful shutdown.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -16,8 +16,8 @@
 use trestleknot_lib::permit::FleetSecret;
 use trestleknot_lib::worker_threads::run_system;
 
-/// Ends a test that hangs; nothing is judged by it.
-const HANG: Duration = Duration::from_secs(30);
+/// Limit after which a hanging test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn plan() -> FleetPlan {
     let team = |name: &str| TeamPlan {
@@ -45,12 +45,12 @@
     f: impl FnOnce(Fleet) -> F + 'static,
 ) {
     let done = Rc::new(RefCell::new(false));
-    let mark = done.clone();
+    let finished = done.clone();
     run_system("test", async move {
         let fleet = Fleet::start(plan).expect("a fleet starts");
         wait_ready(&fleet).await;
         f(fleet).await;
-        *mark.borrow_mut() = true;
+        *finished.borrow_mut() = true;
     });
     assert!(*done.borrow(), "the test ran to its end");
 }
@@ -75,13 +75,13 @@
     serde_json::from_slice(&body).expect("JSON")
 }
 
-struct Heard {
+struct JobAnswer {
     status: u16,
     body: Value,
     permit: Option<String>,
 }
 
-async fn post(client: &Client, address: SocketAddr, key: &str, body: &Value) -> Heard {
+async fn post(client: &Client, address: SocketAddr, key: &str, body: &Value) -> JobAnswer {
     let request = client
         .post(format!("http://{address}/v1/jobs"))
         .header("authorization", format!("Bearer {key}"));
@@ -89,7 +89,7 @@
     let permit = response.header("x-trestleknot-permit");
     let permit = permit.and_then(|p| p.to_str().ok()).map(str::to_owned);
     let text = response.body().await.expect("a body");
-    Heard {
+    JobAnswer {
         status: response.status().as_u16(),
         body: serde_json::from_slice(&text).expect("JSON"),
         permit,
@@ -157,11 +157,11 @@
             ),
         ];
         for (key, body, status, kind, why) in cases {
-            let heard = post(&client, address, key, &body).await;
-            assert_eq!(heard.status, status, "{}", heard.body);
-            assert_eq!(heard.body["status"], json!(kind), "{}", heard.body);
+            let answer = post(&client, address, key, &body).await;
+            assert_eq!(answer.status, status, "{}", answer.body);
+            assert_eq!(answer.body["status"], json!(kind), "{}", answer.body);
             if !why.is_empty() {
-                assert_eq!(heard.body["why"], json!(why), "{}", heard.body);
+                assert_eq!(answer.body["why"], json!(why), "{}", answer.body);
             }
         }
         assert_eq!(fleet.starts.started_twice(), 0);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn test_submit_once_resubmitted_elsewhere_gets_same_answer() {
+fn test_submit_with_permit_to_another_entry_gets_same_answer() {
     with_fleet(|fleet| async move {
         let client = new_client().await;
         let [first, second] = fleet.caller_addresses()[..] else {
@@ -185,13 +185,13 @@
         let mut body = job(20, "charge");
         body["repeatable"] = json!(false);
         body["permit"] = json!(permits[0]);
-        let heard = post(&client, first, "a-key", &body).await;
-        assert_eq!(heard.status, 200, "{}", heard.body);
-        assert!(heard.permit.is_some(), "a fresh permit rides on the answer");
+        let answer = post(&client, first, "a-key", &body).await;
+        assert_eq!(answer.status, 200, "{}", answer.body);
+        assert!(answer.permit.is_some(), "the answer carries a new permit");
         let again = post(&client, second, "a-key", &body).await;
-        assert_eq!(again.body, heard.body, "the kept answer");
-        let stranger = post(&client, second, "b-key", &body).await;
-        assert_eq!(stranger.body["why"], json!("permit_invalid"));
+        assert_eq!(again.body, answer.body, "the stored answer");
+        let other_team = post(&client, second, "b-key", &body).await;
+        assert_eq!(other_team.body["why"], json!("permit_invalid"));
         assert_eq!(fleet.starts.len(), 1);
         assert_eq!(fleet.starts.started_twice(), 0);
         fleet.stop();
@@ -206,7 +206,7 @@
             panic!("two entries");
         };
         let submitting = client.clone();
-        let long = ntex::rt::spawn(async move {
+        let long_job = ntex::rt::spawn(async move {
             post(&submitting, first, "a-key", &job(20_000, "long")).await
         });
         let incarnation = fleet.entries[0].daemon.as_ref().map(|d| d.incarnation);
@@ -221,7 +221,7 @@
             request.send().await.expect("an answer").status().as_u16()
         };
         assert_eq!(cancel("wrong").await, 404);
-        // Another team's wish is passed on, but the holder knows whose job it is.
+        // The request is forwarded, but the entry that holds the job checks its team.
         cancel("b-key").await;
         let state = client
             .get(format!("http://{first}/v1/jobs/{id}"))
@@ -229,13 +229,15 @@
         let state = state.send().await.expect("an answer");
         assert_eq!(state.status().as_u16(), 200, "still there");
         assert_eq!(cancel("a-key").await, 202);
-        let heard = tokio::time::timeout(HANG, long).await.expect("no hang");
-        let heard = heard.expect("it ran");
+        let answer = tokio::time::timeout(TEST_TIMEOUT, long_job)
+            .await
+            .expect("no hang");
+        let answer = answer.expect("it ran");
         assert_eq!(
-            heard.body["reason"]["why"],
+            answer.body["reason"]["why"],
             json!("cancelled"),
             "{}",
-            heard.body
+            answer.body
         );
         fleet.stop();
     });
@@ -257,23 +259,25 @@
         daemon.drain();
         let late = post(&client, address, "a-key", &job(5, "late")).await;
         assert_eq!(late.body["why"], json!("stopping"), "{}", late.body);
-        let heard = tokio::time::timeout(HANG, running).await.expect("no hang");
-        assert_eq!(heard.expect("it ran").status, 200);
+        let answer = tokio::time::timeout(TEST_TIMEOUT, running)
+            .await
+            .expect("no hang");
+        assert_eq!(answer.expect("it ran").status, 200);
         assert!(!fleet.starts.started("late"));
         fleet.stop();
     });
 }
 
 #[test]
-fn test_links_stranger_gets_no_answer() {
+fn test_links_unauthenticated_peer_gets_no_answer() {
     with_fleet(|fleet| async move {
         let daemon = fleet.entries[0].daemon.as_ref().expect("it runs");
-        let agents = daemon.agent_address;
-        let stranger = ntex::rt::spawn(async move {
-            let stream = tokio::net::TcpStream::connect(agents)
+        let agent_address = daemon.agent_address;
+        let unauthenticated = ntex::rt::spawn(async move {
+            let stream = tokio::net::TcpStream::connect(agent_address)
                 .await
                 .expect("connects");
-            let url = format!("ws://{agents}/agent");
+            let url = format!("ws://{agent_address}/agent");
             let (mut socket, _) = tokio_tungstenite::client_async(url, stream)
                 .await
                 .expect("upgrades");
@@ -281,24 +285,24 @@
             assert!(matches!(nonce, Some(Ok(Message::Binary(_)))));
             let guess = Message::Binary(vec![0; 48].into());
             socket.send(guess).await.expect("sent");
-            // Nothing but the end may follow.
+            // The entry may only close the connection.
             while let Some(Ok(message)) = socket.next().await {
-                assert!(!message.is_binary(), "a stranger was answered");
+                assert!(!message.is_binary(), "an unauthenticated peer was answered");
             }
         });
-        tokio::time::timeout(HANG, stranger)
+        tokio::time::timeout(TEST_TIMEOUT, unauthenticated)
             .await
             .expect("no hang")
             .expect("it ran");
         let client = new_client().await;
-        let heard = post(
+        let answer = post(
             &client,
             fleet.caller_addresses()[0],
             "a-key",
             &job(5, "after"),
         )
         .await;
-        assert_eq!(heard.status, 200, "others are served on");
+        assert_eq!(answer.status, 200, "other callers are still served");
         fleet.stop();
     });
 }
@@ -307,12 +311,12 @@
 fn test_links_malformed_frame_closes_that_session_only() {
     with_fleet(|fleet| async move {
         let daemon = fleet.entries[0].daemon.as_ref().expect("it runs");
-        let agents = daemon.agent_address;
-        let rogue = ntex::rt::spawn(async move {
-            let stream = tokio::net::TcpStream::connect(agents)
+        let agent_address = daemon.agent_address;
+        let misbehaving = ntex::rt::spawn(async move {
+            let stream = tokio::net::TcpStream::connect(agent_address)
                 .await
                 .expect("connects");
-            let url = format!("ws://{agents}/agent");
+            let url = format!("ws://{agent_address}/agent");
             let dialled = tokio_tungstenite::client_async(url, stream).await;
             let (mut socket, _) = dialled.expect("upgrades");
             let secret = FleetSecret::new(SECRET);
@@ -321,13 +325,13 @@
             socket.send(garbage).await.expect("sent");
             while let Some(Ok(_)) = socket.next().await {}
         });
-        // It ends only if the entry closes the session.
-        let ended = tokio::time::timeout(HANG, rogue).await;
+        // The task ends only when the entry closes the session.
+        let ended = tokio::time::timeout(TEST_TIMEOUT, misbehaving).await;
         ended.expect("no hang").expect("it ran");
         let client = new_client().await;
         let address = fleet.caller_addresses()[0];
-        let heard = post(&client, address, "a-key", &job(5, "after")).await;
-        assert_eq!(heard.status, 200, "the other sessions stand");
+        let answer = post(&client, address, "a-key", &job(5, "after")).await;
+        assert_eq!(answer.status, 200, "the other sessions stay open");
         fleet.stop();
     });
 }
@@ -347,8 +351,8 @@
     with_fleet_of(plan, |fleet| async move {
         let client = new_client().await;
         let address = fleet.caller_addresses()[0];
-        let heard = post(&client, address, "a-key", &job(5, "traced")).await;
-        assert_eq!(heard.status, 200);
+        let answer = post(&client, address, "a-key", &job(5, "traced")).await;
+        assert_eq!(answer.status, 200);
         // Spans are flushed at the latest when the daemons stop.
         fleet.stop();
     });
@@ -360,8 +364,8 @@
 #[test]
 fn test_daemon_holds_no_io_uring() {
     with_fleet(|fleet| async move {
-        let links = std::fs::read_dir("/proc/self/fd").expect("Linux");
-        let uses_ring = links
+        let descriptors = std::fs::read_dir("/proc/self/fd").expect("Linux");
+        let uses_ring = descriptors
             .filter_map(|entry| std::fs::read_link(entry.ok()?.path()).ok())
             .any(|path| path.to_string_lossy().contains("io_uring"));
         assert!(!uses_ring);
--- a/lib/tests/test_docs.rs
+++ b/lib/tests/test_docs.rs
@@ -1,4 +1,4 @@
-//! Pages that are made from the code stay in step with it. `UPDATE_DOCS=1` writes them anew.
+//! Checks that the generated pages match the code. `UPDATE_DOCS=1` regenerates them.
 
 use std::fmt::Write as _;
 use std::fs;
@@ -19,15 +19,15 @@
     if std::env::var_os("UPDATE_DOCS").is_some() {
         fs::write(page(name), text).expect("docs can be written");
     }
-    let held = fs::read_to_string(page(name)).unwrap_or_default();
+    let current = fs::read_to_string(page(name)).unwrap_or_default();
     assert!(
-        held == text,
-        "docs/{name} is out of step; run with UPDATE_DOCS=1"
+        current == text,
+        "docs/{name} is outdated; run with UPDATE_DOCS=1"
     );
 }
 
 #[test]
-fn test_events_page_in_step() {
+fn test_events_page_is_current() {
     let mut text = "# Log events\n\nMade from `lib/src/events.rs` by `UPDATE_DOCS=1 cargo test`. \
                     Every line in the log carries `event=NUMBER`.\n\n\
                     | number | level | name | meaning |\n|---|---|---|---|\n"
@@ -39,7 +39,7 @@
             "| {} | {level} | {:?} | {} |",
             info.number, info.code, info.text
         )
-        .expect("a string takes all");
+        .expect("writing to a string succeeds");
     }
     check_or_write("EVENTS.md", &text);
 }
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn test_faults_page_in_step() {
+fn test_faults_page_is_current() {
     let mut text =
         "# Fault matrix\n\nMade by `UPDATE_DOCS=1 cargo test`: every fault at every step, \
                     the real cores on a virtual clock, seed 0, placement `slot_grants`. `+`: the \
@@ -62,13 +62,13 @@
                     was not reached.\n\n| fault |"
             .to_owned();
     for step in STEPS {
-        write!(text, " {step:?} |").expect("a string takes all");
+        write!(text, " {step:?} |").expect("writing to a string succeeds");
     }
     text.push_str("\n|---|");
     text.push_str(&"---|".repeat(STEPS.len()));
     text.push('\n');
     for fault in FAULTS {
-        write!(text, "| {fault:?} |").expect("a string takes all");
+        write!(text, "| {fault:?} |").expect("writing to a string succeeds");
         for step in STEPS {
             let cell = run_cell(&[FaultAtStep { step, fault }], 0, PlacementMode::SlotGrants);
             let mark = match (cell.struck, cell.violations.is_empty()) {
@@ -76,7 +76,7 @@
                 (true, true) => '+',
                 (true, false) => '-',
             };
-            write!(text, " {mark} |").expect("a string takes all");
+            write!(text, " {mark} |").expect("writing to a string succeeds");
         }
         text.push('\n');
     }
--- a/lib/tests/test_entry_directory.rs
+++ b/lib/tests/test_entry_directory.rs
@@ -1,4 +1,4 @@
-//! What entries tell each other as their number grows: counted in packets and tables, not in time.
+//! Traffic between entries as the fleet grows, counted in packets and configuration tables.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -14,14 +14,14 @@
 use trestleknot_lib::run_message::{Packet, PeerNews, PeerPacket};
 use trestleknot_lib::timings::Timings;
 
-/// One way between two entries.
+/// One-way delay between two entries.
 const DELAY: Duration = Duration::from_millis(1);
-/// By then entries of any number have found each other and given up what they need not.
+/// Time by which a fleet of any size has connected and closed its surplus links.
 const SETTLED: Now = Duration::from_secs(10);
-/// Within this every entry must have heard of a batch that is being closed: callers come again after
-/// 500 ms at the soonest.
+/// Time within which every entry must know of a batch that is being closed. Callers return after
+/// 500 ms at the earliest.
 const HEARD_OF_CLOSING: Duration = Duration::from_millis(300);
-/// A configuration must be in force by then.
+/// Time within which a configuration must be in force everywhere.
 const IN_FORCE: Duration = Duration::from_secs(2);
 const BATCH: BatchId = 77;
 
@@ -46,7 +46,7 @@
     Closed(usize, SessionId),
 }
 
-/// Directories of entries on a clock of their own. One that is gone says and hears nothing.
+/// The directories of all entries on a virtual clock. A dead entry sends and receives nothing.
 struct Mesh {
     now: Now,
     entries: Vec<EntryDirectory>,
@@ -56,13 +56,14 @@
     next_link: SessionId,
     queue: BinaryHeap<Reverse<(Now, u64)>>,
     events: BTreeMap<u64, Event>,
-    /// Packets that carry more than signs of life, and tables among them.
+    /// Packets that carry more than heartbeats.
     packets: usize,
+    /// Configuration tables sent.
     tables: usize,
 }
 
 impl Mesh {
-    /// Entries that know three seeds, and have had time to find each other.
+    /// Starts `count` entries with three seeds and runs until they have found each other.
     fn settled(count: usize) -> Self {
         let mut mesh = Self {
             now: Now::ZERO,
@@ -100,13 +101,13 @@
             }
             self.now = self.now.max(at);
             if let Some(event) = self.events.remove(&number) {
-                self.happen(event);
+                self.handle(event);
             }
         }
         self.now = until;
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = self.now;
         match event {
             Event::Wake(entry, at) if self.wake_at[entry] == Some(at) => {
@@ -178,8 +179,8 @@
         let Some(ends) = self.links.get(&link).copied() else {
             return;
         };
-        let is_sign_of_life = packet.news.iter().all(|n| *n == PeerNews::Heartbeat);
-        self.packets += usize::from(!is_sign_of_life);
+        let is_heartbeat = packet.news.iter().all(|n| *n == PeerNews::Heartbeat);
+        self.packets += usize::from(!is_heartbeat);
         let is_table = |n: &&PeerNews| matches!(n, PeerNews::Config(_));
         self.tables += packet.news.iter().filter(is_table).count();
         let to = if ends.dialler == from {
@@ -190,7 +191,7 @@
         self.at(self.now + DELAY, Event::Packet(to, link, packet));
     }
 
-    /// Entries in this range hear of a configuration from the store.
+    /// Gives the entries in `heard_by` a configuration from the store.
     fn configure(&mut self, version: u64, heard_by: std::ops::Range<usize>) {
         let table = Arc::new(QueueTable {
             version,
@@ -207,13 +208,13 @@
         self.run_until(self.now + length);
     }
 
-    /// Entries that hold a batch, or do not, that is being closed.
-    fn hold(&self, batch: BatchId) -> usize {
+    /// Number of living entries that know that a peer is closing `batch`.
+    fn count_closing(&self, batch: BatchId) -> usize {
         let entries = self.entries.iter().zip(&self.alive);
-        let holds = |(entry, alive): &(&EntryDirectory, &bool)| {
+        let knows = |(entry, alive): &(&EntryDirectory, &bool)| {
             **alive && entry.is_closing_at_peer(self.now, batch)
         };
-        entries.filter(holds).count()
+        entries.filter(knows).count()
     }
 }
 
@@ -234,7 +235,7 @@
 const SIZES: [usize; 3] = [48, 96, 192];
 
 #[test]
-fn test_flush_change_that_all_hear_of_costs_each_the_same_at_any_size() {
+fn test_flush_change_known_to_all_costs_each_the_same_at_any_size() {
     let mut costs = Vec::new();
     for count in SIZES {
         let mut mesh = Mesh::settled(count);
@@ -247,7 +248,7 @@
 }
 
 #[test]
-fn test_flush_storm_of_changes_sends_no_tables_to_those_who_hear_of_them() {
+fn test_flush_frequent_changes_known_to_all_send_no_tables() {
     let mut mesh = Mesh::settled(96);
     for version in 0..10 {
         mesh.configure(5 + version, 0..96);
@@ -257,7 +258,7 @@
 }
 
 #[test]
-fn test_flush_change_that_one_hears_of_reaches_all() {
+fn test_flush_change_known_to_one_reaches_all() {
     for count in SIZES {
         let mut mesh = Mesh::settled(count);
         mesh.configure(5, 7..8);
@@ -273,7 +274,7 @@
 }
 
 #[test]
-fn test_flush_change_reaches_a_third_without_the_store_beside_half_that_are_gone() {
+fn test_flush_change_reaches_entries_without_the_store_while_half_are_dead() {
     let mut mesh = Mesh::settled(192);
     for entry in (0..192).step_by(2) {
         mesh.alive[entry] = false;
@@ -293,20 +294,20 @@
 }
 
 #[test]
-fn test_flush_batch_that_is_closed_is_known_everywhere_in_time_and_then_forgotten() {
+fn test_flush_closing_batch_is_known_everywhere_in_time_and_then_forgotten() {
     for count in [3, 12, 48, 192] {
         let mut mesh = Mesh::settled(count);
         let now = mesh.now;
         mesh.entries[1].tell_closing(now, BATCH);
         mesh.flush(1);
         mesh.run_for(HEARD_OF_CLOSING);
-        assert_eq!(mesh.hold(BATCH), count - 1, "{count} entries");
+        assert_eq!(mesh.count_closing(BATCH), count - 1, "{count} entries");
         let now = mesh.now;
         mesh.entries[1].tell_closed(now, BATCH);
         mesh.flush(1);
         mesh.run_for(HEARD_OF_CLOSING);
-        assert_eq!(mesh.hold(BATCH), 0, "{count} entries");
-        // What comes by several ways is passed on once.
+        assert_eq!(mesh.count_closing(BATCH), 0, "{count} entries");
+        // News that arrives on several links is passed on once.
         let before = mesh.packets;
         mesh.run_for(ms(5_000));
         assert_eq!(mesh.packets, before, "{count} entries");
@@ -335,8 +336,8 @@
 }
 
 #[test]
-fn test_flush_neighbour_that_joins_late_hears_what_is_being_closed() {
-    // Connections are reset all at once: when the caller is seen to be gone, no link stands.
+fn test_flush_neighbour_that_joins_late_learns_of_closing_batches() {
+    // All connections are reset at once, so no link is up when the entry notices the caller's end.
     let mut mesh = Mesh::settled(4);
     for link in mesh.links.keys().copied().collect::<Vec<_>>() {
         let ends = mesh.links.remove(&link).expect("it was listed");
@@ -353,5 +354,5 @@
         mesh.dial(from, address(to));
     }
     mesh.run_for(HEARD_OF_CLOSING);
-    assert_eq!(mesh.hold(BATCH), 3);
+    assert_eq!(mesh.count_closing(BATCH), 3);
 }
--- a/lib/tests/test_evacuations.rs
+++ b/lib/tests/test_evacuations.rs
@@ -1,4 +1,4 @@
-//! What is known of evacuated halls, read by read and process by process.
+//! How processes learn of evacuated halls from the store and from each other.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,7 +16,9 @@
 }
 
 fn records(is_whole: bool, halls: &[(&str, bool)], place: u64) -> EvacuationRecords {
-    let halls = halls.iter().map(|(hall, is)| ((*hall).into(), *is));
+    let halls = halls
+        .iter()
+        .map(|(hall, is_evacuated)| ((*hall).into(), *is_evacuated));
     EvacuationRecords {
         is_whole,
         halls: halls.collect(),
@@ -101,17 +103,17 @@
     watch.known(ms(1_400));
     assert!(!watch.take_due(ms(2_800)));
     assert!(watch.take_due(ms(2_900)));
-    // The answer is awaited for as long as that again.
+    // It waits as long again before the next query.
     assert!(!watch.take_due(ms(4_000)));
     assert!(watch.take_due(ms(4_400)));
-    // An old word, come late, changes nothing.
+    // An older state that arrives late changes nothing.
     watch.known(ms(1_000));
     assert_eq!(watch.ask_at(), Some(ms(5_900)));
 }
 
 #[test]
 fn test_take_due_bounds_by_case() {
-    // A bound shorter than the entries' own reads is kept by asking; no bound, no question.
+    // A short bound makes the agent query more often. Without a bound it never queries.
     let cases = [
         (Some(ms(5_000)), Some(ms(1_500))),
         (Some(ms(20_000)), Some(ms(6_000))),
@@ -125,7 +127,7 @@
     }
 }
 
-/// A store as the operators write it, and what a reader sees of it at any place.
+/// The operators' records in the store, and the state at each position.
 #[derive(Debug, Default)]
 struct Log {
     records: Vec<(HallName, bool)>,
@@ -163,14 +165,14 @@
     }
 }
 
-/// What happens to one of three processes or to the store.
+/// An event at one of three processes or at the store.
 #[derive(Debug, Clone)]
 enum Step {
     Order(u8, bool),
     Trim,
-    /// A process reads on, or the newest records if it has read nothing or they are gone.
+    /// A process reads on, or reads all halls if it has read nothing or the records are trimmed.
     Read(usize),
-    /// A process reads the newest records as they were some records ago.
+    /// A process reads all halls as they were some records ago.
     StaleRead(usize, usize),
     /// A process tells another what it knows.
     Tell(usize, usize),
@@ -179,10 +181,10 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        3 => (0..4u8, any::<bool>()).prop_map(|(hall, is)| Step::Order(hall, is)),
+        3 => (0..4u8, any::<bool>()).prop_map(|(hall, evacuates)| Step::Order(hall, evacuates)),
         1 => Just(Step::Trim),
         4 => (0..3usize).prop_map(Step::Read),
-        1 => (0..3usize, 0..6usize).prop_map(|(who, behind)| Step::StaleRead(who, behind)),
+        1 => (0..3usize, 0..6usize).prop_map(|(index, behind)| Step::StaleRead(index, behind)),
         3 => (0..3usize, 0..3usize).prop_map(|(from, to)| Step::Tell(from, to)),
         1 => (0..3usize).prop_map(Step::Restart),
     ]
@@ -204,38 +206,40 @@
 }
 
 proptest! {
-    /// Whatever is read and told in whichever order, a process holds what was true at its place in
-    /// the log, its place never falls in one life, and a read of the end brings it up to date.
+    /// In any order of reads and exchanges, a process holds the state at its store position. The
+    /// position never falls until a restart, and a read to the end brings the process up to date.
     #[test]
-    fn test_offer_any_order_is_true_at_its_place(steps in prop::collection::vec(step(), 1..80)) {
+    fn test_offer_any_order_matches_its_position(steps in prop::collection::vec(step(), 1..80)) {
         let mut log = Log::default();
         let mut processes = [Process::default(), Process::default(), Process::default()];
         for step in steps {
             let before: Vec<u64> = processes.iter().map(|p| p.in_force.state().place).collect();
             let mut restarted = None;
             match step {
-                Step::Order(hall, is) => log.records.push((format!("hall-{hall}").into(), is)),
+                Step::Order(hall, evacuates) => {
+                    log.records.push((format!("hall-{hall}").into(), evacuates))
+                }
                 Step::Trim => log.first_kept = log.records.len(),
-                Step::Read(who) => {
-                    let read = match processes[who].next {
+                Step::Read(index) => {
+                    let read = match processes[index].next {
                         Some(from) if from >= log.first_kept => log.since(from),
                         _ => log.whole(log.records.len()),
                     };
-                    processes[who].read(read);
-                    let halls = &processes[who].in_force.state().halls;
+                    processes[index].read(read);
+                    let halls = &processes[index].in_force.state().halls;
                     prop_assert_eq!(halls, &log.halls_at(log.records.len()));
                 }
-                Step::StaleRead(who, behind) => {
+                Step::StaleRead(index, behind) => {
                     let place = log.records.len().saturating_sub(behind);
-                    processes[who].read(log.whole(place));
+                    processes[index].read(log.whole(place));
                 }
                 Step::Tell(from, to) => {
                     let state = processes[from].in_force.state().clone();
                     processes[to].in_force.offer(&state);
                 }
-                Step::Restart(who) => {
-                    processes[who] = Process::default();
-                    restarted = Some(who);
+                Step::Restart(index) => {
+                    processes[index] = Process::default();
+                    restarted = Some(index);
                 }
             }
             for (index, process) in processes.iter().enumerate() {
--- a/lib/tests/test_fault_matrix.rs
+++ b/lib/tests/test_fault_matrix.rs
@@ -1,4 +1,5 @@
-//! Every fault at every step: the real cores on a virtual clock keep every promise.
+//! Injects every fault at every step into the real cores on a virtual clock and checks the
+//! invariants.
 
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
@@ -12,7 +13,7 @@
     PlacementMode::SlotGrants,
     PlacementMode::SlotGrantsAhead,
 ];
-/// Seeds for each cell.
+/// Seeds per step and fault.
 const SEEDS: u64 = 2;
 
 #[test]
@@ -25,7 +26,7 @@
 
 #[test]
 fn test_run_cell_every_fault_at_every_step() {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for step in STEPS {
         for fault in FAULTS {
             for seed in 0..SEEDS {
@@ -35,36 +36,46 @@
                     PlacementMode::SlotGrants,
                 );
                 if !cell.struck {
-                    broken.push(format!("{step:?} x {fault:?} seed {seed}: not struck"));
+                    violations.push(format!("{step:?} x {fault:?} seed {seed}: not injected"));
                 }
-                for promise in cell.violations {
-                    broken.push(format!("{step:?} x {fault:?} seed {seed}: {promise}"));
+                for violation in cell.violations {
+                    violations.push(format!("{step:?} x {fault:?} seed {seed}: {violation}"));
                 }
             }
         }
     }
-    assert!(broken.is_empty(), "{}\n{}", broken.len(), broken.join("\n"));
+    assert!(
+        violations.is_empty(),
+        "{}\n{}",
+        violations.len(),
+        violations.join("\n")
+    );
 }
 
-/// Random pairs tried for each placement.
+/// Random pairs of faults per placement.
 const PAIRS: u64 = 150;
 
 #[test]
 fn test_run_cell_random_pairs() {
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for placement in PLACEMENTS {
         for seed in 0..PAIRS {
             let mut rng = ChaCha8Rng::seed_from_u64(seed);
-            let strikes = [random_strike(&mut rng), random_strike(&mut rng)];
-            for promise in run_cell(&strikes, seed, placement).violations {
-                broken.push(format!("{placement} {strikes:?} seed {seed}: {promise}"));
+            let faults = [random_fault(&mut rng), random_fault(&mut rng)];
+            for violation in run_cell(&faults, seed, placement).violations {
+                violations.push(format!("{placement} {faults:?} seed {seed}: {violation}"));
             }
         }
     }
-    assert!(broken.is_empty(), "{}\n{}", broken.len(), broken.join("\n"));
+    assert!(
+        violations.is_empty(),
+        "{}\n{}",
+        violations.len(),
+        violations.join("\n")
+    );
 }
 
-fn random_strike(rng: &mut ChaCha8Rng) -> FaultAtStep {
+fn random_fault(rng: &mut ChaCha8Rng) -> FaultAtStep {
     FaultAtStep {
         step: STEPS[rng.random_range(0..STEPS.len())],
         fault: FAULTS[rng.random_range(0..FAULTS.len())],
--- a/lib/tests/test_fleet_crashing_tasks.rs
+++ b/lib/tests/test_fleet_crashing_tasks.rs
@@ -1,4 +1,4 @@
-//! Fleets with tasks that crash every target which starts them.
+//! Fleets with tasks that crash every target on which they start.
 
 use std::time::Duration;
 
@@ -18,40 +18,40 @@
     memory_mib: 64,
     accelerators: 0,
 };
-/// Batches a second: about half of what the fleet carries.
+/// Batches a second: about half of the fleet's capacity.
 const LOAD: u32 = 18;
 const LOAD_FROM: Now = ms(500);
 const LOAD_TO: Now = ms(9_000);
 const END: Now = ms(18_000);
-/// How long callers of batches that crash targets wait in all.
+/// Total time that callers of crashing batches wait.
 const DEADLINE: Duration = ms(3_400);
-/// Id of the first batch that crashes targets.
-const FIRST_CULPRIT: u64 = 1_000;
+/// Id of the first crashing batch.
+const FIRST_CRASHING: u64 = 1_000;
 
-fn fleet_with_culprits(seed: u64, agents: usize, culprits: u64) -> RunFleet {
-    fleet_with_callers(seed, agents, culprits, Some(DEADLINE))
+fn fleet_with_crashing_batches(seed: u64, agents: usize, crashing_batches: u64) -> RunFleet {
+    fleet_with_caller_deadline(seed, agents, crashing_batches, Some(DEADLINE))
 }
 
-/// The same with callers of these batches that wait so long in all, however often they come again.
-fn fleet_with_callers(
+/// Like [`fleet_with_crashing_batches`], with a limit on the callers' total time over all retries.
+fn fleet_with_caller_deadline(
     seed: u64,
     agents: usize,
-    culprits: u64,
+    crashing_batches: u64,
     deadline: Option<Duration>,
 ) -> RunFleet {
-    let shape = FleetConfig {
+    let fleet_config = FleetConfig {
         agents,
         ..FleetConfig::default()
     };
-    let mut fleet = RunFleet::with_config(seed, shape, testutils::run_fleet::config());
+    let mut fleet = RunFleet::with_config(seed, fleet_config, testutils::run_fleet::config());
     fleet.load(LOAD_FROM, LOAD_TO, LOAD);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    for index in 0..culprits {
+    for index in 0..crashing_batches {
         let sent = ms(rng.random_range(1_000..6_000));
         let mut caller = Caller::new(sent, rng.random_range(1..4), 40, TASK);
         caller.crashes = true;
         caller.deadline = deadline;
-        fleet.add_caller(FIRST_CULPRIT + index, caller);
+        fleet.add_caller(FIRST_CRASHING + index, caller);
     }
     fleet
 }
@@ -59,49 +59,49 @@
 #[test]
 fn test_run_until_task_that_crashes_targets_is_given_up() {
     for seed in 0..40 {
-        let mut fleet = fleet_with_culprits(seed, 12, 1);
+        let mut fleet = fleet_with_crashing_batches(seed, 12, 1);
         fleet.run_until(END);
-        let broken = fleet.violations();
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
+        let violations = fleet.violations();
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
         let crashes = fleet.most_crashes();
         assert!((1..=3).contains(&crashes), "seed {seed}: {crashes} crashes");
-        let wronged = fleet.failed_innocents();
-        assert!(wronged.is_empty(), "seed {seed}: {wronged:x?}");
+        let innocents = fleet.failed_innocents();
+        assert!(innocents.is_empty(), "seed {seed}: {innocents:x?}");
     }
 }
 
 #[test]
 fn test_run_until_caller_of_a_crashing_task_hears_that_it_failed() {
-    // Two crashes and the ends of two leases fit into the caller's time.
+    // Two crashes and the expiry of two leases fit into the caller's deadline.
     let mut failed = 0;
     for seed in 0..40 {
-        let mut fleet = fleet_with_culprits(seed, 12, 1);
+        let mut fleet = fleet_with_crashing_batches(seed, 12, 1);
         fleet.run_until(END);
-        let caller = &fleet.callers[&FIRST_CULPRIT];
+        let caller = &fleet.callers[&FIRST_CRASHING];
         failed += usize::from(caller.replies.iter().any(|(_, r)| *r == Reply::Failed));
     }
-    assert!(failed >= 36, "only {failed} of 40 heard it");
+    assert!(failed >= 36, "only {failed} of 40 were told");
 }
 
 #[test]
 fn test_run_until_crashing_tasks_beside_faults_keep_invariants() {
-    check_beside_strikes(Some(DEADLINE));
+    check_with_other_faults(Some(DEADLINE));
 }
 
 #[test]
 fn test_run_until_crashing_tasks_of_callers_without_end_keep_promises() {
-    // Each attempt has its own time, and finds another entry that knows nothing of the crashes.
-    check_beside_strikes(None);
+    // Each attempt has its own deadline and may reach an entry that knows nothing of the crashes.
+    check_with_other_faults(None);
 }
 
-/// Entries and agents are killed and targets crash by themselves: what was learnt is forgotten.
-fn check_beside_strikes(deadline: Option<Duration>) {
+/// Kills entries and agents and crashes targets, which loses the knowledge of crashing tasks.
+fn check_with_other_faults(deadline: Option<Duration>) {
     for seed in 0..100 {
-        let mut fleet = fleet_with_callers(seed, AGENTS, 3, deadline);
+        let mut fleet = fleet_with_caller_deadline(seed, AGENTS, 3, deadline);
         let mut rng = ChaCha8Rng::seed_from_u64(50_000 + seed);
         for _ in 0..rng.random_range(1..7) {
             let target = rng.random_range(0..AGENTS);
-            let strike = match rng.random_range(0..6) {
+            let fault = match rng.random_range(0..6) {
                 0 => FleetFault::Kill(Node::Entry(rng.random_range(0..ENTRIES))),
                 1 => FleetFault::Kill(Node::Agent(target)),
                 2 => FleetFault::Crash(target),
@@ -109,10 +109,10 @@
                 4 => FleetFault::LateOrders(target, ms(2_000)),
                 _ => FleetFault::PowerOff(Node::Agent(target)),
             };
-            fleet.inject(ms(rng.random_range(600..7_000)), strike);
+            fleet.inject(ms(rng.random_range(600..7_000)), fault);
         }
         fleet.run_until(END);
-        let broken = fleet.violations();
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
+        let violations = fleet.violations();
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
     }
 }
--- a/lib/tests/test_fleet_room.rs
+++ b/lib/tests/test_fleet_room.rs
@@ -1,4 +1,4 @@
-//! Fleets whose targets lose room and get it back while they run.
+//! Fleets whose targets lose capacity and regain it while they run.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
     Duration::from_millis(millis)
 }
 
-/// Batches a second: about half of what the fleet carries.
+/// Batches a second: about half of the fleet's capacity.
 const LOAD: u32 = 18;
 const LOAD_FROM: Now = ms(500);
 const LOAD_TO: Now = ms(9_000);
 const END: Now = ms(18_000);
 
 #[test]
-fn test_run_until_shrinking_room_is_kept() {
+fn test_run_until_shrinking_capacity_is_respected() {
     let mut served = Vec::new();
     for seed in 0..120 {
         let mut rng = ChaCha8Rng::seed_from_u64(60_000 + seed);
@@ -33,7 +33,7 @@
         }
         for _ in 0..rng.random_range(0..4) {
             let target = rng.random_range(0..AGENTS);
-            let strike = match rng.random_range(0..6) {
+            let fault = match rng.random_range(0..6) {
                 0 => FleetFault::Kill(Node::Agent(target)),
                 1 => FleetFault::Kill(Node::Entry(rng.random_range(0..ENTRIES))),
                 2 => FleetFault::Restart(target),
@@ -41,11 +41,11 @@
                 4 => FleetFault::LateReports(target, ms(3_000)),
                 _ => FleetFault::Leave(target),
             };
-            fleet.inject(ms(rng.random_range(600..7_000)), strike);
+            fleet.inject(ms(rng.random_range(600..7_000)), fault);
         }
         fleet.run_until(END);
-        let broken = fleet.violations();
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
+        let violations = fleet.violations();
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
         served.push(fleet.served(ms(8_500), LOAD_TO));
     }
     let mean = served.iter().sum::<f64>() / served.len() as f64;
--- a/lib/tests/test_fleet_suspension.rs
+++ b/lib/tests/test_fleet_suspension.rs
@@ -1,4 +1,4 @@
-//! Fleets whose VMs are suspended for seconds, targets with them.
+//! Fleets whose VMs, including the targets, are suspended for seconds.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
     Duration::from_millis(millis)
 }
 
-/// Batches a second: about half of what the fleet carries.
+/// Batches a second: about half of the fleet's capacity.
 const LOAD: u32 = 18;
 const LOAD_FROM: Now = ms(500);
 const LOAD_TO: Now = ms(12_000);
 const END: Now = ms(24_000);
 
-/// A fleet in which VMs are suspended at any moment, several at once, beside kills and cuts.
-fn play(seed: u64, counts_suspension: bool) -> RunFleet {
-    let shape = FleetConfig {
+/// Runs a fleet with VM suspensions, which may overlap, and with kills, resets and cuts.
+fn run_fleet(seed: u64, counts_suspension: bool) -> RunFleet {
+    let fleet_config = FleetConfig {
         entries_meet: true,
         counts_suspension,
         ..FleetConfig::default()
     };
-    let mut fleet = RunFleet::with_config(seed, shape, testutils::run_fleet::config());
+    let mut fleet = RunFleet::with_config(seed, fleet_config, testutils::run_fleet::config());
     fleet.load(LOAD_FROM, LOAD_TO, LOAD);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let any_node = |rng: &mut ChaCha8Rng| match rng.random_bool(0.6) {
@@ -39,16 +39,16 @@
             FleetFault::Suspend(node, length),
         );
     }
-    // Not an entry that dies while a target sleeps: what it knew of the target's runs is gone, and its
-    // callers may find another entry before the target wakes.
+    // No entry is killed: it would lose what it knows of a suspended target's runs, and its callers
+    // might reach another entry before the target resumes.
     for _ in 0..rng.random_range(0..3) {
         let agent = Node::Agent(rng.random_range(0..AGENTS));
-        let strike = match rng.random_range(0..3) {
+        let fault = match rng.random_range(0..3) {
             0 => FleetFault::Kill(agent),
             1 => FleetFault::Reset(any_node(&mut rng)),
             _ => FleetFault::Cut(agent, ms(1_500)),
         };
-        fleet.inject(ms(rng.random_range(800..8_000)), strike);
+        fleet.inject(ms(rng.random_range(800..8_000)), fault);
     }
     fleet.run_until(END);
     fleet
@@ -58,9 +58,9 @@
 fn test_run_until_suspended_vms_keep_invariants() {
     let mut served = Vec::new();
     for seed in 0..200 {
-        let fleet = play(seed, true);
-        let broken = fleet.violations();
-        assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
+        let fleet = run_fleet(seed, true);
+        let violations = fleet.violations();
+        assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
         assert!(fleet.still_running().is_empty(), "seed {seed}");
         served.push(fleet.served(ms(10_500), LOAD_TO));
     }
@@ -71,10 +71,10 @@
 #[test]
 fn test_run_until_orders_from_before_a_suspension_start_nothing() {
     let starts = |counts_suspension| -> usize {
-        let fleets = (0..60).map(|seed| play(seed, counts_suspension));
+        let fleets = (0..60).map(|seed| run_fleet(seed, counts_suspension));
         fleets.map(|fleet| fleet.starts_in_vain()).sum()
     };
     assert_eq!(starts(true), 0);
-    // To a clock that stands still meanwhile they are fresh.
+    // A clock that stops during a suspension takes these orders for fresh.
     assert!(starts(false) > 0);
 }
--- a/lib/tests/test_link_load.rs
+++ b/lib/tests/test_link_load.rs
@@ -1,4 +1,4 @@
-//! What sending costs on an entry's own link.
+//! Backlog and price of sending on an entry's link.
 
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     let mut link = LinkLoad::new(RATE);
     assert_eq!(link.price(ms(0), 1_000), ms(4));
     for step in 0..500 {
-        // Half of what it carries.
+        // Half of the link's rate.
         link.sent(ms(8 * step), 1_000);
     }
     let busy = link.price(ms(4_000), 1_000);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn test_price_without_a_rate_is_nothing() {
+fn test_price_without_a_rate_is_zero() {
     for rate in [None, Some(0.0)] {
         let mut link = LinkLoad::new(rate);
         link.sent(ms(1), 1_000_000);
--- a/lib/tests/test_load_replay.rs
+++ b/lib/tests/test_load_replay.rs
@@ -1,7 +1,6 @@
-//! Decisions under load, on load patterns played by the real cores on the virtual clock.
+//! Replays seeded load patterns with the real cores on a virtual clock.
 //!
-//! Each bound is what the decision named beside it reaches, less a margin; taking the decision out
-//! breaks it. The plays are seeded and the same every time.
+//! Each bound fails if the scheduling decision that it guards is removed.
 
 use std::path::Path;
 use std::time::Duration;
@@ -20,109 +19,111 @@
     LoadPattern::parse(name, &text).expect("the pattern can be read")
 }
 
-/// Figures of a pattern's batches that came in a span of time.
-fn play(name: &str, from: u64, to: u64) -> ReplayResults {
+/// Results of a pattern's batches that arrived between `from` and `to`, in milliseconds.
+fn replay(name: &str, from: u64, to: u64) -> ReplayResults {
     pattern(name).figures(1, ms(from)..ms(to))
 }
 
-fn in_time(figures: &ReplayResults, kind: usize) -> f64 {
-    figures.kinds[kind].1.share_in_time()
+fn in_time(results: &ReplayResults, kind: usize) -> f64 {
+    results.kinds[kind].1.share_in_time()
 }
 
 #[test]
-fn test_figures_same_seed_same_figures() {
-    let (first, second) = (play("burst_long", 0, 5_000), play("burst_long", 0, 5_000));
+fn test_figures_same_seed_same_results() {
+    let (first, second) = (
+        replay("burst_long", 0, 5_000),
+        replay("burst_long", 0, 5_000),
+    );
     assert_eq!(first, second);
 }
 
 #[test]
-fn test_figures_usual_second_of_a_large_fleet_costs_few_packets() {
-    let mut usual = pattern("usual_large");
-    usual.load_ms = 1_000;
-    let figures = usual.figures(1, ms(0)..ms(1_000));
-    assert!(figures.all().share_in_time() > 0.99, "{figures:?}");
-    // Twelve links: 20% and 208,000. To all 55 entries: 46% find no room, 872,000 packets.
-    assert!(figures.share_full() < 0.3, "{figures:?}");
-    assert!(figures.packets < 300_000, "{figures:?}");
+fn test_figures_normal_load_of_a_large_fleet_costs_few_packets() {
+    let mut normal = pattern("usual_large");
+    normal.load_ms = 1_000;
+    let results = normal.figures(1, ms(0)..ms(1_000));
+    assert!(results.all().share_in_time() > 0.99, "{results:?}");
+    // Agents with links to all 55 entries would exceed both bounds.
+    assert!(results.share_full() < 0.3, "{results:?}");
+    assert!(results.packets < 300_000, "{results:?}");
 }
 
 #[test]
-fn test_figures_burst_of_all_kinds_keeps_the_targets_at_work() {
-    let figures = play("burst_small", 1_000, 4_000);
-    // Ten tasks of 3.1 cores fit in 32: 0.969 is the most that can be had.
-    assert!(figures.goodput > 0.88, "{figures:?}");
+fn test_figures_burst_of_all_kinds_keeps_the_targets_busy() {
+    let results = replay("burst_small", 1_000, 4_000);
+    // Ten tasks of 3.1 cores fit in 32, so goodput can't exceed 0.969.
+    assert!(results.goodput > 0.88, "{results:?}");
 }
 
 #[test]
 fn test_figures_burst_starves_no_kind() {
-    let figures = play("burst_small", 1_000, 4_000);
+    let results = replay("burst_small", 1_000, 4_000);
     for kind in 0..3 {
-        assert!(in_time(&figures, kind) > 0.75, "{figures:?}");
+        assert!(in_time(&results, kind) > 0.75, "{results:?}");
     }
 }
 
 #[test]
 fn test_figures_burst_of_the_wide_kind_is_served() {
-    let figures = play("burst_wide", 1_000, 4_000);
-    assert!(in_time(&figures, 0) > 0.9, "{figures:?}");
+    let results = replay("burst_wide", 1_000, 4_000);
+    assert!(in_time(&results, 0) > 0.9, "{results:?}");
 }
 
 #[test]
 fn test_figures_burst_of_the_long_kind_is_served() {
-    let figures = play("burst_long", 1_000, 4_000);
-    assert!(in_time(&figures, 1) > 0.9, "{figures:?}");
-    assert!(in_time(&figures, 0) > 0.9, "{figures:?}");
+    let results = replay("burst_long", 1_000, 4_000);
+    assert!(in_time(&results, 1) > 0.9, "{results:?}");
+    assert!(in_time(&results, 0) > 0.9, "{results:?}");
 }
 
 #[test]
 fn test_figures_twice_the_load_keeps_goodput() {
     let mut overload = pattern("overload_small");
     overload.load_ms = 5_000;
-    let figures = overload.figures(1, ms(1_500)..ms(5_000));
-    assert!(figures.goodput > 0.85, "{figures:?}");
-    let all = figures.all();
-    assert!(all.late * 20 < all.asked, "few are late: {figures:?}");
-    // Without a forecast: 62 ms over four seeds.
-    let wide = figures.kinds[0].1;
-    assert!(wide.wait_to_refusal() < ms(50), "{figures:?}");
+    let results = overload.figures(1, ms(1_500)..ms(5_000));
+    assert!(results.goodput > 0.85, "{results:?}");
+    let all = results.all();
+    assert!(all.late * 20 < all.asked, "few are late: {results:?}");
+    // Without a wait forecast, refusals come later than this.
+    let wide = results.kinds[0].1;
+    assert!(wide.wait_to_refusal() < ms(50), "{results:?}");
 }
 
 #[test]
-fn test_figures_narrow_links_carry_the_usual_load() {
-    let figures = play("usual_choked", 1_000, 6_000);
-    // Payloads sent as they are to targets chosen without regard to the link: .300 .889 .684. Packed,
-    // and with the link's price in the choice: .887 .986 .990. Paced by the link, once a link: 1.000
-    // 1.000 .998.
+fn test_figures_narrow_links_carry_the_normal_load() {
+    let results = replay("usual_choked", 1_000, 6_000);
+    // This needs compressed payloads, sent once per link and paced by it, and the link's price in
+    // the choice of a target.
     for kind in 0..3 {
-        assert!(in_time(&figures, kind) > 0.97, "{figures:?}");
+        assert!(in_time(&results, kind) > 0.97, "{results:?}");
     }
 }
 
 #[test]
-fn test_figures_burst_at_narrow_links_is_not_lost_in_them() {
-    let figures = play("burst_choked", 1_000, 4_000);
-    // Not paced by the link, so that answers wait behind payloads: .390 in time.
-    assert!(in_time(&figures, 0) > 0.55, "{figures:?}");
-    assert!(figures.goodput > 0.7, "{figures:?}");
+fn test_figures_burst_at_narrow_links_is_served() {
+    let results = replay("burst_choked", 1_000, 4_000);
+    // Without pacing by the link, answers wait behind payloads.
+    assert!(in_time(&results, 0) > 0.55, "{results:?}");
+    assert!(results.goodput > 0.7, "{results:?}");
 }
 
 #[test]
-fn test_figures_slow_targets_hurt_little_once_they_are_known() {
-    let figures = play("slow_quarter", 2_000, 4_000);
-    assert!(figures.all().share_in_time() > 0.6, "{figures:?}");
+fn test_figures_known_slow_targets_leave_most_in_time() {
+    let results = replay("slow_quarter", 2_000, 4_000);
+    assert!(results.all().share_in_time() > 0.6, "{results:?}");
 }
 
 #[test]
 fn test_figures_lost_orders_leave_most_in_time() {
-    let figures = play("lost_orders", 1_000, 4_000);
-    assert!(figures.all().share_in_time() > 0.8, "{figures:?}");
+    let results = replay("lost_orders", 1_000, 4_000);
+    assert!(results.all().share_in_time() > 0.8, "{results:?}");
 }
 
 #[test]
-fn test_figures_all_power_lost_is_over_two_seconds_after_its_return() {
-    // Off at 1 s, back at 1.9 s, callers back at 2.3 s.
-    let figures = play("power_off", 4_000, 8_000);
-    assert!(figures.all().share_in_time() > 0.98, "{figures:?}");
+fn test_figures_power_loss_is_over_two_seconds_after_power_returns() {
+    // Power is off from 1 s to 1.9 s, and callers return at 2.3 s.
+    let results = replay("power_off", 4_000, 8_000);
+    assert!(results.all().share_in_time() > 0.98, "{results:?}");
 }
 
 #[test]
@@ -151,17 +152,18 @@
 }
 
 #[test]
-fn test_figures_tasks_that_crash_targets_take_few_others_along() {
-    let figures = play("crashing_tasks", 0, 8_000);
-    // Each culprit takes two targets along for two seconds, and what ran there waits for proof.
-    assert!(figures.all().share_in_time() > 0.8, "{figures:?}");
-    // An innocent must be unlucky twice.
-    let all = figures.all();
-    assert!(all.given_up * 500 <= all.asked, "innocents: {figures:?}");
+fn test_figures_tasks_that_crash_targets_fail_few_others() {
+    let results = replay("crashing_tasks", 0, 8_000);
+    // Each crashing task takes down two targets for two seconds. Other runs there wait until they
+    // are proven to have ended.
+    assert!(results.all().share_in_time() > 0.8, "{results:?}");
+    // Other tasks are given up only if they share a crash twice.
+    let all = results.all();
+    assert!(all.given_up * 500 <= all.asked, "innocents: {results:?}");
 }
 
 #[test]
 fn test_figures_no_innocent_is_given_up_beside_tasks_that_crash_targets() {
-    let figures = play("crashing_tasks", 0, 8_000);
-    assert_eq!(figures.all().given_up, 0, "innocents: {figures:?}");
+    let results = replay("crashing_tasks", 0, 8_000);
+    assert_eq!(results.all().given_up, 0, "innocents: {results:?}");
 }
--- a/lib/tests/test_log_summary.rs
+++ b/lib/tests/test_log_summary.rs
@@ -1,4 +1,4 @@
-//! Accounts from log lines.
+//! Summaries of log lines.
 
 use trestleknot_lib::log_summary::LogSummary;
 
--- a/lib/tests/test_payload.rs
+++ b/lib/tests/test_payload.rs
@@ -1,4 +1,4 @@
-//! Payloads on their way to agents.
+//! Compression of payloads that are sent to agents.
 
 use std::sync::Arc;
 
@@ -33,8 +33,8 @@
 }
 
 #[test]
-fn test_pack_what_does_not_shrink_stays_text() {
-    // Seven bits an octet by chance, and too few of them for the library's tables to pay.
+fn test_pack_incompressible_stays_text() {
+    // Random seven-bit characters, too few to make up for the compression's tables.
     let mut state = 1u32;
     let text: String = (0..210)
         .map(|_| {
@@ -48,9 +48,9 @@
 #[test]
 fn test_unpack_malformed_is_an_error() {
     let mut unpacker = PayloadUnpacker::default();
-    let nonsense = Payload::Packed(Arc::new(ByteBuf::from(b"nonsense".to_vec())));
-    assert!(unpacker.unpack(&nonsense).is_err());
-    // Nor does it spoil what comes after it.
+    let malformed = Payload::Packed(Arc::new(ByteBuf::from(b"nonsense".to_vec())));
+    assert!(unpacker.unpack(&malformed).is_err());
+    // The next payload is not affected.
     let text = "0123456789".repeat(100);
     let unpacked = unpacker.unpack(&packed(&text));
     assert_eq!(&*unpacked.expect("it can be unpacked"), text);
--- a/lib/tests/test_payload_cache.rs
+++ b/lib/tests/test_payload_cache.rs
@@ -1,4 +1,4 @@
-//! Payloads that an agent keeps for orders to come.
+//! The agent's cache of payloads for later orders.
 
 use std::sync::Arc;
 
@@ -19,13 +19,13 @@
 }
 
 #[test]
-fn test_keep_forgets_what_was_used_longest_ago() {
+fn test_keep_evicts_the_least_recently_used() {
     let mut cache = PayloadCache::default();
     let payload = Arc::from("payload");
     for batch in 0..256 {
         cache.keep(1, batch, &payload);
     }
-    assert!(cache.get(1, 0).is_some(), "it counts as used now");
+    assert!(cache.get(1, 0).is_some(), "this counts as a use");
     cache.keep(1, 256, &payload);
     assert!(cache.get(1, 0).is_some());
     assert_eq!(cache.get(1, 1), None);
--- a/lib/tests/test_permits.rs
+++ b/lib/tests/test_permits.rs
@@ -1,4 +1,4 @@
-//! Requests that must not be repeated: contract of permits and registrars.
+//! Permits and registrars, which keep a non-repeatable request from running twice.
 
 use std::sync::Arc;
 
--- a/lib/tests/test_request_timeline.rs
+++ b/lib/tests/test_request_timeline.rs
@@ -1,4 +1,4 @@
-//! Stories of requests from log lines.
+//! Timelines of requests from log lines.
 
 use trestleknot_lib::request_timeline::RequestTimeline;
 
--- a/lib/tests/test_run_agent/crashes.rs
+++ b/lib/tests/test_run_agent/crashes.rs
@@ -1,8 +1,8 @@
-//! Crashes of the target: which runs they are told of, and tasks that run alone.
+//! Crashes of the target: which runs are reported as crashed, and suspects that run alone.
 
 use super::*;
 
-/// An agent on whose target runs of its entry go, from 12 ms on.
+/// An agent whose target runs `count` tasks of its entry, started at 12 ms.
 fn agent_with_runs(count: u16) -> RunAgentCore {
     let mut agent = ready_agent();
     for index in 0..count {
@@ -18,28 +18,28 @@
     agent
 }
 
-/// Ends that the actions tell of.
+/// Run ends that the actions report.
 fn ends(actions: &[AgentAction]) -> Vec<RunEnd> {
     let sent = actions.iter().filter_map(|a| match a {
         AgentAction::Send(_, packet) => Some(packet),
         _ => None,
     });
     let news = sent.flat_map(|p| p.news.clone());
-    let told = news.filter_map(|n| match n {
+    let reported = news.filter_map(|n| match n {
         AgentNews::Ended { end, .. } => Some(end),
         _ => None,
     });
-    told.collect()
+    reported.collect()
 }
 
-/// Answers every renewal in this way until nothing runs any more; gives the ends that were told.
-fn ends_if_renewals_are(mut agent: RunAgentCore, answer: &RenewalAnswer) -> Vec<RunEnd> {
+/// Gives every renewal the same answer until run ends are reported, and returns these.
+fn ends_if_renewals_get(mut agent: RunAgentCore, answer: &RenewalAnswer) -> Vec<RunEnd> {
     let mut actions = agent.handle(ms(13), AgentEvent::Wake);
-    // The renewal that waits since the first start has a low number.
+    // The renewal pending since the first start has a low number.
     let mut numbers: Vec<u64> = (1..10).collect();
-    let mut told = Vec::new();
+    let mut reported = Vec::new();
     let mut now = ms(13);
-    while told.is_empty() && now < ms(3_000) {
+    while reported.is_empty() && now < ms(3_000) {
         numbers.extend(renewals(&actions));
         actions = Vec::new();
         for number in std::mem::take(&mut numbers) {
@@ -51,40 +51,40 @@
         now += ms(20);
         actions.extend(agent.handle(now, AgentEvent::Wake));
         actions.extend(agent.handle(now, packet(60_000, Vec::new())));
-        told = ends(&actions);
+        reported = ends(&actions);
     }
-    told
+    reported
 }
 
 #[test]
 fn test_handle_run_of_a_target_that_refuses_connections_counts_as_crashed() {
-    let told = ends_if_renewals_are(agent_with_runs(1), &RenewalAnswer::Refused);
-    assert_eq!(told, [RunEnd::Crashed { alone: true }]);
+    let reported = ends_if_renewals_get(agent_with_runs(1), &RenewalAnswer::Refused);
+    assert_eq!(reported, [RunEnd::Crashed { alone: true }]);
 }
 
 #[test]
-fn test_handle_crash_with_two_runs_points_at_neither() {
-    let told = ends_if_renewals_are(agent_with_runs(2), &RenewalAnswer::Refused);
-    assert_eq!(told, [RunEnd::Crashed { alone: false }; 2]);
+fn test_handle_crash_with_two_runs_suspects_neither() {
+    let reported = ends_if_renewals_get(agent_with_runs(2), &RenewalAnswer::Refused);
+    assert_eq!(reported, [RunEnd::Crashed { alone: false }; 2]);
 }
 
 #[test]
 fn test_handle_run_of_a_silent_target_does_not_count_as_crashed() {
-    // As one without power, or behind a cut.
-    let told = ends_if_renewals_are(agent_with_runs(1), &RenewalAnswer::Silent);
-    assert_eq!(told, [RunEnd::Lost]);
+    // The target may have lost power or be cut off.
+    let reported = ends_if_renewals_get(agent_with_runs(1), &RenewalAnswer::Silent);
+    assert_eq!(reported, [RunEnd::Lost]);
 }
 
 #[test]
 fn test_handle_run_of_a_target_that_left_does_not_count_as_crashed() {
     let mut agent = agent_with_runs(1);
     agent.handle(ms(13), report("life-1", true, 2));
-    let told = ends_if_renewals_are(agent, &RenewalAnswer::Refused);
-    assert_eq!(told, [RunEnd::Lost]);
+    let reported = ends_if_renewals_get(agent, &RenewalAnswer::Refused);
+    assert_eq!(reported, [RunEnd::Lost]);
 }
 
 #[test]
-fn test_handle_run_that_another_start_does_not_list_counts_as_crashed() {
+fn test_handle_run_missing_after_a_restart_counts_as_crashed() {
     let lists_of = |born| RenewalAnswer::Lists {
         born: Some(born),
         clock: 1_000,
@@ -119,7 +119,7 @@
     // The target may have crashed at the start itself.
     let mut agent = ready_agent();
     agent.handle(ms(10), packet(60_000, vec![start(0, 5_000)]));
-    let actions = agent.handle(ms(110), silent(100));
+    let actions = agent.handle(ms(110), start_unanswered(100));
     let number = fence(&actions).number;
     let answer = RenewalAnswer::Lists {
         born: Some(1),
@@ -127,12 +127,12 @@
         running: Vec::new(),
         ended: Vec::new(),
     };
-    // The first lists that state a start are no proof of another one; a report of another name is.
+    // The first lists with a birth time don't prove a restart; a report under another name does.
     let actions = agent.handle(ms(112), report("life-2", false, 1));
-    let (question, _) = questions(&actions)[0];
+    let (check, _) = incarnation_checks(&actions)[0];
     let actions = agent.handle(
         ms(113),
-        life_answered(question, IncarnationAnswer::Alive(None)),
+        incarnation_checked(check, IncarnationAnswer::Alive(None)),
     );
     assert_eq!(ends(&actions), [RunEnd::Crashed { alone: true }]);
     let actions = agent.handle(ms(114), AgentEvent::RenewalAnswered { number, answer });
@@ -158,12 +158,12 @@
     assert_eq!(
         refusal(&actions),
         Some(NotStarted::Full),
-        "nothing joins it"
+        "nothing runs beside it"
     );
 }
 
 #[test]
-fn test_handle_suspect_joins_nothing() {
+fn test_handle_suspect_is_refused_beside_other_runs() {
     let mut agent = agent_with_runs(1);
     let actions = agent.handle(ms(13), packet(60_000, vec![start_alone(1)]));
     assert_eq!(refusal(&actions), Some(NotStarted::Full));
--- a/lib/tests/test_run_agent/evacuation.rs
+++ b/lib/tests/test_run_agent/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuated data halls.
+//! Evacuations of data halls.
 
 use super::*;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn test_handle_evacuated_hall_starts_nothing_and_ends_what_runs() {
+fn test_handle_evacuated_hall_starts_nothing_and_finishes_its_runs() {
     let mut agent = ready_agent();
     let actions = agent.handle(ms(5), packet(60_000, vec![start(0, 500)]));
     let StartCall { key, token, .. } = start_calls(&actions).remove(0);
@@ -22,11 +22,11 @@
     let stops = actions
         .iter()
         .any(|a| matches!(a, AgentAction::Stop { .. }));
-    assert!(!stops, "what runs in an evacuated hall ends in peace");
+    assert!(!stops, "runs in an evacuated hall are not stopped");
     let actions = agent.handle(ms(8), packet(60_000, vec![start(1, 500)]));
     assert_eq!(starts(&actions), 0);
     assert_eq!(refusal(&actions), Some(NotStarted::Evacuated));
-    // An entry that does not know yet that it was withdrawn changes nothing; a later word does.
+    // An entry's older state changes nothing; a newer one does.
     let order = Order::Evacuations(evacuated(6, &[]));
     let actions = agent.handle(ms(9), packet(60_000, vec![order, start(2, 500)]));
     assert_eq!(starts(&actions), 0);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn test_handle_asks_the_store_when_no_entry_hears_of_it() {
+fn test_handle_asks_the_store_when_no_entry_hears_from_it() {
     let mut agent = ready_agent();
     let asks = |actions: &[AgentAction]| {
         let asked = actions
@@ -66,7 +66,7 @@
         };
         AgentEvent::Packet(LINK, packet)
     };
-    // As long as its entry hears of the store, the agent has no question.
+    // While its entry hears from the store, the agent doesn't query it.
     assert_eq!(asks(&agent.handle(ms(1_400), heard_at(1_000))), 0);
     assert_eq!(asks(&agent.handle(ms(2_400), heard_at(1_000))), 0);
     assert_eq!(asks(&agent.handle(ms(2_500), heard_at(1_000))), 1);
@@ -74,10 +74,10 @@
     agent.handle(ms(2_600), AgentEvent::Evacuations(answer));
     let actions = agent.handle(ms(2_700), packet(60_000, vec![start(0, 5_000)]));
     assert_eq!(refusal(&actions), Some(NotStarted::Evacuated));
-    // What was answered was true when it was asked.
+    // An answer counts from the time of its query.
     assert_eq!(asks(&agent.handle(ms(3_900), heard_at(1_000))), 0);
     assert_eq!(asks(&agent.handle(ms(4_000), heard_at(1_000))), 1);
-    // Without an answer it asks again.
+    // Without an answer, the agent queries again.
     agent.handle(ms(4_800), AgentEvent::Evacuations(None));
     assert_eq!(asks(&agent.handle(ms(5_500), heard_at(1_000))), 1);
 }
--- a/lib/tests/test_run_agent/incarnations.rs
+++ b/lib/tests/test_run_agent/incarnations.rs
@@ -1,4 +1,4 @@
-//! Lives of the target: whose report and whose answer counts.
+//! Incarnations of the target: whose reports and answers count.
 
 use super::*;
 
@@ -15,11 +15,11 @@
 fn test_handle_new_incarnation_is_learnt_before_it_gets_work() {
     let mut agent = ready_agent();
     let actions = agent.handle(ms(10), report("life-2", false, 1));
-    let (number, life) = questions(&actions)[0];
-    assert_eq!(life, "life-2");
+    let (number, target_name) = incarnation_checks(&actions)[0];
+    assert_eq!(target_name, "life-2");
     let actions = agent.handle(
         ms(10),
-        life_answered(number, IncarnationAnswer::Alive(None)),
+        incarnation_checked(number, IncarnationAnswer::Alive(None)),
     );
     let asked = renewals(&actions);
     assert_eq!(asked.len(), 1, "its lists are asked for");
@@ -32,7 +32,7 @@
     assert_eq!(starts(&actions), 1);
 }
 
-/// An agent on whose target a run of its entry goes, started at 12 ms.
+/// An agent whose target runs a task of its entry, started at 12 ms.
 fn agent_with_run() -> RunAgentCore {
     let mut agent = ready_agent();
     agent.handle(ms(10), packet(60_000, vec![start(0, 5_000)]));
@@ -49,21 +49,21 @@
 #[test]
 fn test_handle_late_report_of_a_dead_incarnation_ends_nothing() {
     let mut agent = agent_with_run();
-    // A cut held it back until its sender had crashed and the present life had reported.
+    // The report arrives after its sender has crashed and the present incarnation has reported.
     let actions = agent.handle(ms(20), report("life-0", false, 9));
     assert_eq!(agent.levels().runs, 1, "a report proves nothing");
-    let (number, life) = questions(&actions)[0];
-    assert_eq!(life, "life-0");
+    let (number, target_name) = incarnation_checks(&actions)[0];
+    assert_eq!(target_name, "life-0");
     agent.handle(
         ms(21),
-        life_answered(number, IncarnationAnswer::OtherIncarnation),
+        incarnation_checked(number, IncarnationAnswer::OtherIncarnation),
     );
     assert_eq!(agent.levels().runs, 1);
     let actions = agent.handle(ms(22), packet(60_000, vec![start(1, 5_000)]));
-    assert_eq!(starts(&actions), 1, "the living life gets work");
-    // What is known to be dead is not asked again.
+    assert_eq!(starts(&actions), 1, "the living incarnation gets work");
+    // An incarnation that is known to be dead is not checked again.
     let actions = agent.handle(ms(23), report("life-0", false, 10));
-    assert_eq!(questions(&actions), []);
+    assert_eq!(incarnation_checks(&actions), []);
 }
 
 #[test]
@@ -71,10 +71,10 @@
     let mut agent = agent_with_run();
     let actions = agent.handle(ms(20), report("life-2", false, 1));
     assert_eq!(agent.levels().runs, 1, "a report proves nothing");
-    let (number, _) = questions(&actions)[0];
+    let (number, _) = incarnation_checks(&actions)[0];
     agent.handle(
         ms(21),
-        life_answered(number, IncarnationAnswer::Alive(None)),
+        incarnation_checked(number, IncarnationAnswer::Alive(None)),
     );
     assert_eq!(agent.levels().runs, 0);
 }
@@ -87,9 +87,9 @@
     for step in 3..1_000 {
         let now = ms(10 * step);
         let mut next = Vec::new();
-        for (number, _) in questions(&actions) {
+        for (number, _) in incarnation_checks(&actions) {
             asked += 1;
-            next.extend(agent.handle(now, life_answered(number, IncarnationAnswer::Silent)));
+            next.extend(agent.handle(now, incarnation_checked(number, IncarnationAnswer::Silent)));
         }
         next.extend(agent.handle(now, AgentEvent::Wake));
         actions = next;
@@ -99,27 +99,27 @@
 
 #[test]
 fn test_handle_answer_from_before_the_present_incarnation_does_not_end_it() {
-    // An agent that has just started and knows nothing: the dead life's report comes first.
+    // The report of the dead incarnation arrives first.
     let mut agent = ready_agent();
     let old = agent.handle(ms(20), report("life-2", false, 1));
-    let (old_question, _) = questions(&old)[0];
+    let (old_check, _) = incarnation_checks(&old)[0];
     let new = agent.handle(ms(21), report("life-3", false, 1));
-    let (new_question, _) = questions(&new)[0];
+    let (new_check, _) = incarnation_checks(&new)[0];
     let actions = agent.handle(
         ms(22),
-        life_answered(new_question, IncarnationAnswer::Alive(None)),
+        incarnation_checked(new_check, IncarnationAnswer::Alive(None)),
     );
-    let (asked_anew, life) = questions(&actions)[0];
-    assert_eq!(life, "life-2");
-    // The dead life's answer was on its way for longer.
+    let (repeated_check, target_name) = incarnation_checks(&actions)[0];
+    assert_eq!(target_name, "life-2");
+    // The dead incarnation's answer was delayed.
     let late = agent.handle(
         ms(23),
-        life_answered(old_question, IncarnationAnswer::Alive(None)),
+        incarnation_checked(old_check, IncarnationAnswer::Alive(None)),
     );
     assert_eq!(refusal(&late), None);
     agent.handle(
         ms(24),
-        life_answered(asked_anew, IncarnationAnswer::OtherIncarnation),
+        incarnation_checked(repeated_check, IncarnationAnswer::OtherIncarnation),
     );
     let number = *renewals(&actions).last().expect("its lists are asked for");
     let answer = lists();
@@ -135,15 +135,15 @@
     let actions = agent.handle(ms(10), packet(60_000, vec![start(0, 5_000)]));
     let old = fence(&actions).number;
     let actions = agent.handle(ms(20), report("life-2", false, 1));
-    let (number, _) = questions(&actions)[0];
+    let (number, _) = incarnation_checks(&actions)[0];
     let actions = agent.handle(
         ms(21),
-        life_answered(number, IncarnationAnswer::Alive(None)),
+        incarnation_checked(number, IncarnationAnswer::Alive(None)),
     );
     let new = fence(&actions).number;
     let (number, answer) = (new, lists());
     agent.handle(ms(22), AgentEvent::RenewalAnswered { number, answer });
-    // Its number of ends is far above those of the present life.
+    // Its end sequence number is far above those of the present incarnation.
     let answer = RenewalAnswer::Lists {
         born: None,
         clock: 900_000,
@@ -156,7 +156,7 @@
     let call = start_calls(&actions).pop().expect("it is started");
     assert!(
         call.until < 100_000,
-        "the dead life's clock: {}",
+        "the dead incarnation's clock: {}",
         call.until
     );
     let started = AgentEvent::StartAnswered {
@@ -173,35 +173,42 @@
         ended: vec![(1, key(1), RunEnd::Done)],
     };
     agent.handle(ms(30), AgentEvent::RenewalAnswered { number, answer });
-    assert_eq!(agent.levels().runs, 0, "its own end is news");
+    assert_eq!(
+        agent.levels().runs,
+        0,
+        "the present incarnation's end counts"
+    );
 }
 
-/// Targets that the actions tell of.
-fn targets_told(actions: &[AgentAction]) -> Vec<Option<TargetInfo>> {
+/// Targets that the actions announce to entries.
+fn announced_targets(actions: &[AgentAction]) -> Vec<Option<TargetInfo>> {
     let sent = actions.iter().filter_map(|a| match a {
         AgentAction::Send(_, packet) => Some(packet),
         _ => None,
     });
     let news = sent.flat_map(|p| p.news.clone());
-    let told = news.filter_map(|n| match n {
+    let targets = news.filter_map(|n| match n {
         AgentNews::Target(target) => Some(target),
         _ => None,
     });
-    told.collect()
+    targets.collect()
 }
 
 #[test]
 fn test_handle_target_is_offered_once_its_lists_are_read() {
-    // An entry that is told of it sooner says that it is ready, and has no room for its first batches.
+    // An entry that learns of it sooner becomes ready without capacity for its first batches.
     let mut agent = RunAgentCore::new(Now::ZERO, options());
     let actions = agent.handle(ms(1), AgentEvent::LinkUp(LINK, address(1)));
-    assert_eq!(targets_told(&actions), [None]);
+    assert_eq!(announced_targets(&actions), [None]);
     let actions = agent.handle(ms(2), report("life-1", false, 1));
-    let number = questions(&actions)[0].0;
-    let actions = agent.handle(ms(3), life_answered(number, IncarnationAnswer::Alive(None)));
-    assert_eq!(targets_told(&actions), []);
+    let number = incarnation_checks(&actions)[0].0;
+    let actions = agent.handle(
+        ms(3),
+        incarnation_checked(number, IncarnationAnswer::Alive(None)),
+    );
+    assert_eq!(announced_targets(&actions), []);
     let number = renewals(&actions)[0];
     let answer = lists();
     let actions = agent.handle(ms(4), AgentEvent::RenewalAnswered { number, answer });
-    assert_eq!(targets_told(&actions), [Some(info("life-1", false))]);
+    assert_eq!(announced_targets(&actions), [Some(info("life-1", false))]);
 }
--- a/lib/tests/test_run_agent/leases.rs
+++ b/lib/tests/test_run_agent/leases.rs
@@ -1,4 +1,4 @@
-//! Renewals: silence, doubt, and what may lapse.
+//! Lease renewals: unanswered ones, adopted and claimed runs, and which leases may lapse.
 
 use super::*;
 
@@ -7,9 +7,9 @@
     let mut agent = ready_agent();
     let mut actions = agent.handle(ms(10), packet(600_000, vec![start(0, 500)]));
     let mut now = ms(10);
-    // It answers nothing until its leases must have run out.
+    // The target answers nothing until its leases must have lapsed.
     while now < ms(3_000) {
-        // The entry goes on talking, so its link stands.
+        // The entry keeps sending, so its link stays up.
         let mut events = vec![AgentEvent::Wake, packet(600_000, Vec::new())];
         for action in &actions {
             match action {
@@ -31,8 +31,8 @@
             actions.extend(agent.handle(now, event));
         }
     }
-    assert_eq!(agent.levels().runs, 0, "what ran has lapsed");
-    // It is asked on, and gets work again once it has answered.
+    assert_eq!(agent.levels().runs, 0, "the run's lease has lapsed");
+    // The agent keeps asking the target, which gets work again once it has answered.
     let mut asked = renewals(&actions);
     while asked.is_empty() && now < ms(4_000) {
         now += ms(20);
@@ -47,10 +47,10 @@
 }
 
 #[test]
-fn test_handle_lost_renewal_is_noticed_by_the_usual_time_of_answers() {
+fn test_handle_lost_renewal_is_noticed_by_the_answer_times() {
     let mut agent = ready_agent();
-    teach_quick_answers(&mut agent);
-    // What was asked for until now is answered; the next renewal is lost.
+    answer_starts_quickly(&mut agent);
+    // All earlier renewals are answered; the next one is lost.
     let mut now = ms(203);
     let mut actions = agent.handle(now, packet(60_000, vec![start(0, 5_000)]));
     for number in 1..40 {
@@ -79,7 +79,7 @@
     }
     assert!(again.is_some(), "nothing was asked again until {now:?}");
 
-    // What the first one lists, should it come after all, still counts.
+    // A late answer to the first one still counts.
     let answer = RenewalAnswer::Lists {
         born: None,
         clock: 1_300,
@@ -94,7 +94,7 @@
 #[test]
 fn test_handle_idle_target_in_doubt_is_asked_until_it_answers() {
     let mut agent = ready_agent();
-    // One run, and a renewal that is lost; the run's end is learnt from the start's refusal.
+    // The only run is refused, and the renewal sent with its start is lost.
     let mut actions = agent.handle(ms(10), packet(60_000, vec![start(0, 5_000)]));
     let lost = fence(&actions).number;
     let refused = AgentEvent::StartAnswered {
@@ -115,7 +115,7 @@
         actions = agent.handle(now, AgentEvent::Wake);
     }
     let number = *renewals(&actions).first().expect("it is asked again");
-    // Until it answers, nothing is started on it.
+    // Nothing starts on the target until it answers.
     let doubtful = agent.handle(now, packet(60_000, vec![start(1, 5_000)]));
     assert_eq!(refusal(&doubtful), Some(NotStarted::Doubtful));
     let answer = lists();
@@ -127,7 +127,7 @@
 #[test]
 fn test_handle_nothing_starts_while_a_lease_must_run_out() {
     let mut agent = ready_agent();
-    // A second entry, which will answer for its runs throughout.
+    // A second entry, which stays connected throughout.
     let second: SessionId = 2;
     agent.handle(ms(5), AgentEvent::LinkUp(second, address(2)));
     let welcome = Welcome {
@@ -154,7 +154,7 @@
         answer: StartAnswer::Started { clock: 1_010 },
     };
     agent.handle(ms(12), started);
-    // The first entry's link breaks; its run is stopped, but the target lists it on and on.
+    // The first entry's link breaks. Its run is stopped, but the target keeps listing it.
     agent.handle(ms(20), AgentEvent::LinkDown(LINK));
     let mut actions = Vec::new();
     for step in 2..90 {
@@ -179,12 +179,12 @@
         let handled = answers.into_iter().map(|event| agent.handle(now, event));
         actions = handled.collect::<Vec<_>>().concat();
     }
-    // A start would extend the lease of that run as well.
+    // A start would also extend the lease of that run.
     let actions = agent.handle(ms(900), from_second(vec![start(1, 5_000)]));
     assert_eq!(starts(&actions), 0, "{actions:?}");
 }
 
-/// The ends of the leases that the renewals ask for.
+/// The lease ends that the renewals request.
 fn leases(actions: &[AgentAction]) -> Vec<Option<u64>> {
     let renewals = actions.iter().filter_map(|a| match a {
         AgentAction::Renew { renewal, .. } => Some(renewal.until),
@@ -193,15 +193,15 @@
     renewals.collect()
 }
 
-/// A new life of an agent whose target runs something of an earlier life's, read at 2 ms. Gives
-/// the actions with it.
+/// A restarted agent that adopts a run of its earlier incarnation at 2 ms, with the actions of
+/// that moment.
 fn agent_with_adopted_run() -> (RunAgentCore, Vec<AgentAction>) {
     let mut agent = RunAgentCore::new(Now::ZERO, options());
     let actions = agent.handle(ms(1), AgentEvent::Wake);
     let number = renewals(&actions)[0];
     let answer = running(&[key(0)]);
     let actions = agent.handle(ms(2), AgentEvent::RenewalAnswered { number, answer });
-    assert_eq!(agent.levels().runs, 1, "it is adopted");
+    assert_eq!(agent.levels().runs, 1, "the run is adopted");
     (agent, actions)
 }
 
@@ -225,14 +225,14 @@
         }
         actions = next;
     }
-    let stopped_at = stopped_at.expect("nobody claims it, so it is stopped");
+    let stopped_at = stopped_at.expect("an unclaimed run is stopped");
     assert!(stopped_at < ms(300), "{stopped_at:?}");
 }
 
 #[test]
 fn test_handle_claimed_run_is_renewed() {
     let (mut agent, actions) = agent_with_adopted_run();
-    let number = *renewals(&actions).last().expect("a look is on the way");
+    let number = *renewals(&actions).last().expect("a renewal is on the way");
     agent.handle(ms(10), AgentEvent::LinkUp(LINK, address(1)));
     let welcome = Welcome {
         name: "entry".into(),
@@ -247,7 +247,7 @@
     assert!(leases(&actions).iter().any(Option::is_some), "{actions:?}");
 }
 
-/// Ends that entries are told.
+/// Run ends that the actions report to entries.
 fn ends(actions: &[AgentAction]) -> Vec<(RunKey, RunEnd)> {
     let mut ends = Vec::new();
     for action in actions {
@@ -265,7 +265,7 @@
 
 #[test]
 fn test_handle_stop_before_the_lists_are_read_proves_nothing() {
-    // A new life of the agent, beside a target that still runs what an earlier life started.
+    // The agent has restarted, and its target still runs what the earlier incarnation started.
     let key = key(0);
     let mut agent = RunAgentCore::new(Now::ZERO, options());
     agent.handle(ms(1), AgentEvent::LinkUp(LINK, address(1)));
@@ -280,8 +280,11 @@
     let actions = agent.handle(ms(2), packet(60_000, orders));
     assert_eq!(ends(&actions), [], "it may still run");
     let actions = agent.handle(ms(3), report("life-1", false, 1));
-    let (number, _) = questions(&actions)[0];
-    let actions = agent.handle(ms(4), life_answered(number, IncarnationAnswer::Alive(None)));
+    let (number, _) = incarnation_checks(&actions)[0];
+    let actions = agent.handle(
+        ms(4),
+        incarnation_checked(number, IncarnationAnswer::Alive(None)),
+    );
     let number = renewals(&actions)[0];
     let running = vec![ListedRun { key, percent: 10 }];
     let answer = RenewalAnswer::Lists {
--- a/lib/tests/test_run_agent/main.rs
+++ b/lib/tests/test_run_agent/main.rs
@@ -1,4 +1,4 @@
-//! Single decisions of the platform's agent, event by event.
+//! Decisions of the agent core for the platform, event by event.
 
 mod crashes;
 mod evacuation;
@@ -47,15 +47,15 @@
     Duration::from_millis(millis)
 }
 
-/// A life of a target.
-fn life_of(name: &str, born: Option<u64>) -> TargetIncarnation {
+/// An incarnation of a target.
+fn incarnation_of(name: &str, born: Option<u64>) -> TargetIncarnation {
     let name = Arc::from(name);
     TargetIncarnation { name, born }
 }
 
-fn info(life: &str, leaving: bool) -> TargetInfo {
+fn info(target_name: &str, leaving: bool) -> TargetInfo {
     TargetInfo {
-        life: life_of(life, None),
+        life: incarnation_of(target_name, None),
         service: "service".into(),
         capacity: Resources {
             cpu_millis: 16_000,
@@ -67,8 +67,8 @@
     }
 }
 
-fn report(life: &str, leaving: bool, sequence: u64) -> AgentEvent {
-    let info = info(life, leaving);
+fn report(target_name: &str, leaving: bool, sequence: u64) -> AgentEvent {
+    let info = info(target_name, leaving);
     AgentEvent::Report(TargetReport { info, sequence })
 }
 
@@ -89,20 +89,17 @@
     }
 }
 
-/// Numbers of the questions whether a life of the target lives, with the lives.
-fn questions(actions: &[AgentAction]) -> Vec<(u64, &str)> {
-    let asked = actions.iter().filter_map(|a| match a {
-        AgentAction::CheckIncarnation {
-            look,
-            target_name: life,
-        } => Some((look.number, &**life)),
+/// Numbers and target names of the incarnation checks among the actions.
+fn incarnation_checks(actions: &[AgentAction]) -> Vec<(u64, &str)> {
+    let checks = actions.iter().filter_map(|a| match a {
+        AgentAction::CheckIncarnation { look, target_name } => Some((look.number, &**target_name)),
         _ => None,
     });
-    asked.collect()
+    checks.collect()
 }
 
-/// Answers a question whether a life lives.
-fn life_answered(number: u64, answer: IncarnationAnswer) -> AgentEvent {
+/// Answers an incarnation check.
+fn incarnation_checked(number: u64, answer: IncarnationAnswer) -> AgentEvent {
     AgentEvent::IncarnationChecked { number, answer }
 }
 
@@ -118,13 +115,16 @@
     }
 }
 
-/// An agent with a target whose lists it has read, and one entry.
+/// An agent that has read its target's lists and is linked to one entry.
 fn ready_agent() -> RunAgentCore {
     let mut agent = RunAgentCore::new(Now::ZERO, options());
     let actions = agent.handle(ms(1), report("life-1", false, 1));
-    let (number, life) = questions(&actions)[0];
-    assert_eq!(life, "life-1");
-    let actions = agent.handle(ms(1), life_answered(number, IncarnationAnswer::Alive(None)));
+    let (number, target_name) = incarnation_checks(&actions)[0];
+    assert_eq!(target_name, "life-1");
+    let actions = agent.handle(
+        ms(1),
+        incarnation_checked(number, IncarnationAnswer::Alive(None)),
+    );
     let number = renewals(&actions)[0];
     let answer = lists();
     agent.handle(ms(2), AgentEvent::RenewalAnswered { number, answer });
@@ -179,7 +179,7 @@
     actions.iter().filter(is_start).count()
 }
 
-/// Why the actions refuse a run, if they do.
+/// The reason of the first refused run among the actions.
 fn refusal(actions: &[AgentAction]) -> Option<NotStarted> {
     let sent = actions.iter().filter_map(|a| match a {
         AgentAction::Send(_, packet) => Some(packet),
@@ -191,7 +191,7 @@
     })
 }
 
-/// The start calls among actions.
+/// The start calls among the actions.
 fn start_calls(actions: &[AgentAction]) -> Vec<StartCall> {
     let calls = actions.iter().filter_map(|a| match a {
         AgentAction::Start(call) => Some(call.clone()),
@@ -200,7 +200,7 @@
     calls.collect()
 }
 
-/// The renewal that asks for the lists under a new token.
+/// The first renewal, which asks for the lists under a new token.
 fn fence(actions: &[AgentAction]) -> Renewal {
     let found = actions.iter().find_map(|a| match a {
         AgentAction::Renew { renewal, .. } => Some(*renewal),
@@ -209,7 +209,7 @@
     found.expect("the lists are asked for")
 }
 
-fn silent(token: u64) -> AgentEvent {
+fn start_unanswered(token: u64) -> AgentEvent {
     AgentEvent::StartAnswered {
         key: key(0),
         token,
@@ -217,8 +217,8 @@
     }
 }
 
-/// Starts that the target answers within 2 ms each, until 192 ms.
-fn teach_quick_answers(agent: &mut RunAgentCore) {
+/// Sends starts that the target answers within 2 ms each, until 192 ms.
+fn answer_starts_quickly(agent: &mut RunAgentCore) {
     for index in 1..20 {
         let at = ms(10 * u64::from(index));
         agent.handle(at, packet(60_000, vec![start(index, 5_000)]));
@@ -246,13 +246,13 @@
 
 #[test]
 fn test_next_wake_draining_agent_does_not_wait_for_preferred_entries() {
-    // More entries than homes are known, none answers, and the agent stops while a run goes on.
+    // The agent knows more entries than it prefers, none answers, and it drains during a run.
     let mut agent = ready_agent();
     let entries = (10..40).map(address).collect();
     agent.handle(ms(5), AgentEvent::Entries(entries));
     agent.handle(ms(6), packet(60_000, vec![start(0, 500)]));
     agent.handle(ms(7), AgentEvent::Drain);
-    // The dials count as missing at 305 ms, and nothing is done about it any more.
+    // The dials time out at 305 ms, which needs no action while draining.
     let later = ms(400);
     agent.handle(later, AgentEvent::Wake);
     let wake = agent.next_wake().expect("a run goes on");
--- a/lib/tests/test_run_agent/starts.rs
+++ b/lib/tests/test_run_agent/starts.rs
@@ -1,4 +1,4 @@
-//! Starts: sent, refused, lost on their way.
+//! Starts that are sent, refused or lost.
 
 use super::*;
 
@@ -19,8 +19,8 @@
 }
 
 #[test]
-fn test_handle_start_after_its_last_moment_is_refused() {
-    // As after a freeze: the order lay in the socket past its last moment.
+fn test_handle_start_after_its_deadline_is_refused() {
+    // The process stalled while the order waited in the socket past its deadline.
     let mut agent = ready_agent();
     let actions = agent.handle(ms(900), packet(60_000, vec![start(0, 500)]));
     assert_eq!(starts(&actions), 0);
@@ -28,9 +28,9 @@
 }
 
 #[test]
-fn test_handle_start_of_entry_whose_word_ran_out_is_refused() {
+fn test_handle_start_of_entry_whose_lease_lapsed_is_refused() {
     let mut agent = ready_agent();
-    // The welcome held for long; a new life of the entry has a short word.
+    // The earlier lease was long; the entry's new incarnation has a short one.
     let welcome = Welcome {
         name: "entry".into(),
         life: 10,
@@ -47,13 +47,13 @@
 fn test_handle_unanswered_start_is_settled_by_a_higher_token() {
     let mut agent = ready_agent();
     agent.handle(ms(10), packet(60_000, vec![start(0, 500)]));
-    let actions = agent.handle(ms(110), silent(100));
+    let actions = agent.handle(ms(110), start_unanswered(100));
     assert_eq!(refusal(&actions), None, "nothing is proven yet");
     assert_eq!(starts(&actions), 0, "nothing is proven yet");
     let first = fence(&actions);
     assert!(first.token > 100, "{first:?}");
 
-    // The lists prove that it never happened: it is sent once more, under the token that counts.
+    // The lists prove that the start never happened. It is sent once more under the new token.
     let (number, answer) = (first.number, lists());
     let actions = agent.handle(ms(112), AgentEvent::RenewalAnswered { number, answer });
     assert_eq!(refusal(&actions), None);
@@ -61,8 +61,8 @@
     assert_eq!(again.len(), 1);
     assert_eq!((again[0].key, again[0].token), (key(0), first.token));
 
-    // The second loss is the entry's to mend.
-    let actions = agent.handle(ms(212), silent(first.token));
+    // After the second loss, the agent leaves the retry to the entry.
+    let actions = agent.handle(ms(212), start_unanswered(first.token));
     let second = fence(&actions);
     assert!(second.token > first.token, "{second:?}");
     let (number, answer) = (second.number, lists());
@@ -72,9 +72,9 @@
 }
 
 #[test]
-fn test_handle_start_is_fenced_off_sooner_where_answers_come_quickly() {
+fn test_handle_start_is_fenced_off_sooner_after_quick_answers() {
     let mut agent = ready_agent();
-    teach_quick_answers(&mut agent);
+    answer_starts_quickly(&mut agent);
     agent.handle(ms(300), packet(60_000, vec![start(0, 5_000)]));
     let mut now = ms(300);
     let mut actions = Vec::new();
@@ -88,7 +88,7 @@
     }
     assert!(now < ms(330), "it waited until {now:?}");
 
-    // An answer that comes after all counts: it is the target's own word.
+    // A late answer still counts, since it comes from the target itself.
     let late = AgentEvent::StartAnswered {
         key: key(0),
         token: 100,
@@ -111,10 +111,10 @@
 }
 
 #[test]
-fn test_handle_answers_behind_a_pause_are_read_before_starts_are_fenced_off() {
+fn test_handle_answers_after_a_stall_are_read_before_starts_are_fenced_off() {
     let mut agent = ready_agent();
     agent.handle(ms(10), packet(60_000, vec![start(0, 5_000)]));
-    // The process stands still past the limit, and the answer waits in its socket.
+    // The process stalls past the timeout while the answer waits in its socket.
     let actions = agent.handle(ms(400), AgentEvent::Wake);
     let is_fence =
         |a: &AgentAction| matches!(a, AgentAction::Renew { renewal, .. } if renewal.token > 100);
@@ -129,8 +129,8 @@
     assert_eq!(agent.levels().runs, 1);
 }
 
-/// An order to start without a payload: it was sent on the link before.
-fn start_known(index: u16, start_by: u64) -> Order {
+/// A start order without a payload, which relies on one sent earlier on the link.
+fn start_without_payload(index: u16, start_by: u64) -> Order {
     match start(index, start_by) {
         Order::Start(order) => Order::Start(StartOrder {
             payload: None,
@@ -143,12 +143,12 @@
 #[test]
 fn test_handle_payload_of_a_batch_is_sent_once_a_link() {
     let mut agent = ready_agent();
-    let actions = agent.handle(ms(5), packet(60_000, vec![start_known(0, 500)]));
+    let actions = agent.handle(ms(5), packet(60_000, vec![start_without_payload(0, 500)]));
     assert_eq!(refusal(&actions), Some(NotStarted::NoPayload));
     agent.handle(ms(6), packet(60_000, vec![start(1, 500)]));
-    let actions = agent.handle(ms(7), packet(60_000, vec![start_known(2, 500)]));
+    let actions = agent.handle(ms(7), packet(60_000, vec![start_without_payload(2, 500)]));
     assert_eq!(&*start_calls(&actions)[0].payload, "work");
-    // Another link of the same entry has to bring it again.
+    // A new link of the same entry must send the payload again.
     agent.handle(ms(8), AgentEvent::LinkDown(LINK));
     agent.handle(ms(9), AgentEvent::LinkUp(LINK, address(1)));
     let welcome = Welcome {
@@ -159,17 +159,17 @@
         evacuations: Arc::default(),
     };
     agent.handle(ms(10), packet(60_000, vec![Order::Welcome(welcome)]));
-    let actions = agent.handle(ms(11), packet(60_000, vec![start_known(3, 500)]));
+    let actions = agent.handle(ms(11), packet(60_000, vec![start_without_payload(3, 500)]));
     assert_eq!(refusal(&actions), Some(NotStarted::NoPayload));
 }
 
 #[test]
 fn test_handle_malformed_payload_starts_nothing() {
     let mut agent = ready_agent();
-    let nonsense = Payload::Packed(Arc::new(ByteBuf::from(b"nonsense".to_vec())));
+    let malformed = Payload::Packed(Arc::new(ByteBuf::from(b"nonsense".to_vec())));
     let order = match start(0, 500) {
         Order::Start(order) => Order::Start(StartOrder {
-            payload: Some(nonsense),
+            payload: Some(malformed),
             ..order
         }),
         other => other,
--- a/lib/tests/test_run_agent/suspension.rs
+++ b/lib/tests/test_run_agent/suspension.rs
@@ -1,15 +1,15 @@
-//! A suspended VM: its clock goes on, the target's stands still.
+//! Suspended VMs: the agent's clock goes on while the target's stops.
 
 use super::*;
 
-/// Silence of the target for so long is proof that nothing runs there.
+/// Silence of the target after which all of its leases must have lapsed.
 const LAPSED_AFTER: Duration = ms(1_400);
 
 #[test]
 fn test_handle_order_from_before_a_suspension_is_too_late() {
     let mut agent = ready_agent();
     agent.handle(ms(3_010), AgentEvent::Resumed(ms(3_000)));
-    // It lay in the socket, written for the moment before.
+    // The order was sent before the suspension and waited in the socket.
     let actions = agent.handle(ms(3_011), packet(60_000, vec![start(0, 500)]));
     assert_eq!(starts(&actions), 0);
     assert_eq!(refusal(&actions), Some(NotStarted::Late));
--- a/lib/tests/test_run_fleet.rs
+++ b/lib/tests/test_run_fleet.rs
@@ -1,4 +1,4 @@
-//! The cores for the platform under faults, on a virtual clock.
+//! The platform's cores under injected faults on a virtual clock: invariants and recovery.
 
 use std::time::Duration;
 
@@ -14,15 +14,14 @@
     Duration::from_millis(millis)
 }
 
-/// Batches a second: about half of what the fleet carries.
+/// Batches a second: about half of the fleet's capacity.
 const LOAD: u32 = 18;
-/// Batches a second: more than the fleet carries.
+/// Batches a second: more than the fleet's capacity.
 const OVERLOAD: u32 = 40;
 const LOAD_FROM: Now = ms(500);
 const LOAD_TO: Now = ms(9_000);
 const END: Now = ms(16_000);
-/// Work may go on for so long after its cancelling where every second order is lost: the chain of
-/// times, 2.6 s.
+/// Longest time that work may go on after its cancellation if every second order is lost.
 const CANCELLED_BOUND: Duration = ms(2_600);
 
 fn mute() -> TargetImpairment {
@@ -53,7 +52,7 @@
     }
 }
 
-fn strikes() -> Vec<FleetFault> {
+fn faults() -> Vec<FleetFault> {
     let (entry, agent) = (Node::Entry(0), Node::Agent(0));
     vec![
         FleetFault::Kill(entry),
@@ -85,23 +84,23 @@
     ]
 }
 
-fn play(seed: u64, strikes: &[(Now, FleetFault)]) -> RunFleet {
-    play_under(LOAD, seed, strikes)
+fn simulate(seed: u64, faults: &[(Now, FleetFault)]) -> RunFleet {
+    simulate_under(LOAD, seed, faults)
 }
 
-fn play_under(load: u32, seed: u64, strikes: &[(Now, FleetFault)]) -> RunFleet {
+fn simulate_under(load: u32, seed: u64, faults: &[(Now, FleetFault)]) -> RunFleet {
     let mut fleet = RunFleet::new(seed);
     fleet.load(LOAD_FROM, LOAD_TO, load);
-    for (at, strike) in strikes {
-        fleet.inject(*at, *strike);
+    for (at, fault) in faults {
+        fleet.inject(*at, *fault);
     }
     fleet.run_until(END);
     fleet
 }
 
-/// Lines of the log about the batches that broken promises name.
-fn explain(fleet: &RunFleet, broken: &[String]) -> String {
-    let Some(batch) = broken[0].get(..16) else {
+/// Log lines about the batch that the first violation names, and about injected faults.
+fn explain(fleet: &RunFleet, violations: &[String]) -> String {
+    let Some(batch) = violations[0].get(..16) else {
         return String::new();
     };
     let lines = fleet.log.iter();
@@ -109,45 +108,48 @@
     about.cloned().collect::<Vec<String>>().join("\n")
 }
 
-fn assert_kept(fleet: &RunFleet, what: &str) {
-    let broken = fleet.violations();
+fn assert_invariants(fleet: &RunFleet, scenario: &str) {
+    let violations = fleet.violations();
     assert!(
-        broken.is_empty(),
-        "{what}: {broken:#?}\n{}",
-        explain(fleet, &broken)
+        violations.is_empty(),
+        "{scenario}: {violations:#?}\n{}",
+        explain(fleet, &violations)
     );
-    let left = fleet.still_running();
+    let running = fleet.still_running();
     let log = fleet.log.iter().rev().take(40).rev();
     let log: Vec<&String> = log.collect();
-    assert!(left.is_empty(), "{what}: left over: {left:?}, {log:#?}");
+    assert!(
+        running.is_empty(),
+        "{scenario}: still running: {running:?}, {log:#?}"
+    );
 }
 
 #[test]
-fn test_run_until_calm_serves_all() {
-    let fleet = play(1, &[]);
-    assert_kept(&fleet, "calm");
+fn test_run_until_no_faults_serves_all() {
+    let fleet = simulate(1, &[]);
+    assert_invariants(&fleet, "no faults");
     assert!(fleet.served(LOAD_FROM, LOAD_TO) > 0.995);
 }
 
 #[test]
-fn test_run_until_each_fault_keeps_promises_and_recovers() {
-    for (index, strike) in strikes().into_iter().enumerate() {
+fn test_run_until_each_fault_keeps_invariants_and_recovers() {
+    for (index, fault) in faults().into_iter().enumerate() {
         for seed in 0..4 {
-            let fleet = play(
+            let fleet = simulate(
                 seed * 100 + index as u64,
-                &[(ms(2_200 + 130 * seed), strike)],
+                &[(ms(2_200 + 130 * seed), fault)],
             );
-            let what = format!("{strike:?}, seed {seed}");
-            assert_kept(&fleet, &what);
+            let scenario = format!("{fault:?}, seed {seed}");
+            assert_invariants(&fleet, &scenario);
             let late = fleet.served(ms(7_500), LOAD_TO);
-            assert!(late > 0.95, "{what}: only {late} served after it");
+            assert!(late > 0.95, "{scenario}: only {late} served after it");
         }
     }
 }
 
-/// Any strike on any process, by a seeded choice.
-fn random_strike(rng: &mut ChaCha8Rng) -> FleetFault {
-    let all = strikes();
+/// A random fault at a random process.
+fn random_fault(rng: &mut ChaCha8Rng) -> FleetFault {
+    let all = faults();
     let entry = Node::Entry(rng.random_range(0..ENTRIES));
     let index = rng.random_range(0..AGENTS);
     let pick = |node: Node| match node {
@@ -164,7 +166,7 @@
         FleetFault::Drain(n) => FleetFault::Drain(pick(n)),
         FleetFault::Crash(_) => FleetFault::Crash(index),
         FleetFault::Restart(_) => FleetFault::Restart(index),
-        FleetFault::Trouble(_, trouble, t) => FleetFault::Trouble(index, trouble, t),
+        FleetFault::Trouble(_, impairment, t) => FleetFault::Trouble(index, impairment, t),
         FleetFault::LateOrders(_, t) => FleetFault::LateOrders(index, t),
         FleetFault::LateReports(_, t) => FleetFault::LateReports(index, t),
         FleetFault::ForeignReports(_, t) => FleetFault::ForeignReports(index, t),
@@ -184,11 +186,11 @@
     for seed in 0..150 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = rng.random_range(2..9);
-        let strikes: Vec<(Now, FleetFault)> = (0..count)
-            .map(|_| (ms(rng.random_range(600..7_000)), random_strike(&mut rng)))
+        let faults: Vec<(Now, FleetFault)> = (0..count)
+            .map(|_| (ms(rng.random_range(600..7_000)), random_fault(&mut rng)))
             .collect();
-        let fleet = play(seed, &strikes);
-        assert_kept(&fleet, &format!("seed {seed}, {strikes:?}"));
+        let fleet = simulate(seed, &faults);
+        assert_invariants(&fleet, &format!("seed {seed}, {faults:?}"));
     }
 }
 
@@ -197,61 +199,61 @@
     for seed in 0..100 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let count = rng.random_range(2..9);
-        let strikes: Vec<(Now, FleetFault)> = (0..count)
-            .map(|_| (ms(rng.random_range(600..7_000)), random_strike(&mut rng)))
+        let faults: Vec<(Now, FleetFault)> = (0..count)
+            .map(|_| (ms(rng.random_range(600..7_000)), random_fault(&mut rng)))
             .collect();
-        let fleet = play_under(OVERLOAD, seed, &strikes);
-        assert_kept(&fleet, &format!("seed {seed}, {strikes:?}"));
+        let fleet = simulate_under(OVERLOAD, seed, &faults);
+        assert_invariants(&fleet, &format!("seed {seed}, {faults:?}"));
     }
 }
 
 #[test]
-fn test_run_until_late_reports_behind_crashes_keep_invariants() {
-    // Reports of dead lives come after those of living ones, while agents lose their memory.
+fn test_run_until_late_reports_after_crashes_keep_invariants() {
+    // Reports of dead incarnations follow those of living ones, while agents lose their memory.
     let mut served = Vec::new();
     for seed in 0..100 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut strikes = Vec::new();
+        let mut faults = Vec::new();
         for i in 0..AGENTS {
             let from = rng.random_range(600..3_000);
-            strikes.push((ms(from), FleetFault::LateReports(i, ms(4_000))));
-            strikes.push((ms(from + rng.random_range(0..3_000)), FleetFault::Crash(i)));
+            faults.push((ms(from), FleetFault::LateReports(i, ms(4_000))));
+            faults.push((ms(from + rng.random_range(0..3_000)), FleetFault::Crash(i)));
             let kill = FleetFault::Kill(Node::Agent(i));
-            strikes.push((ms(from + rng.random_range(0..4_000)), kill));
+            faults.push((ms(from + rng.random_range(0..4_000)), kill));
         }
-        let fleet = play(seed, &strikes);
-        assert_kept(&fleet, &format!("seed {seed}, {strikes:?}"));
+        let fleet = simulate(seed, &faults);
+        assert_invariants(&fleet, &format!("seed {seed}, {faults:?}"));
         served.push(fleet.served(ms(8_000), LOAD_TO));
     }
-    // Some 18 batches a seed, and now and then so many at a time that the fleet is full.
+    // A seed has few batches, and they sometimes arrive so close together that the fleet is full.
     let mean = served.iter().sum::<f64>() / served.len() as f64;
     assert!(mean > 0.99, "only {mean} served after it: {served:?}");
 }
 
 #[test]
 fn test_run_until_restarts_under_one_name_keep_invariants() {
-    // Each target starts again under its name twice, while agents stand still, lose their memory and
-    // hear reports of earlier lives late, and among other strikes.
+    // Each target restarts twice under its name, while agents stall, lose their memory or get late
+    // reports of earlier incarnations, or another fault is injected.
     let mut served = Vec::new();
     for seed in 0..150 {
         let mut rng = ChaCha8Rng::seed_from_u64(20_000 + seed);
-        let mut strikes = Vec::new();
+        let mut faults = Vec::new();
         for i in 0..AGENTS {
             let at = rng.random_range(600..3_000);
-            let again = at + rng.random_range(0..3_000);
-            strikes.push((ms(at), FleetFault::Restart(i)));
-            strikes.push((ms(again), FleetFault::Restart(i)));
+            let second_at = at + rng.random_range(0..3_000);
+            faults.push((ms(at), FleetFault::Restart(i)));
+            faults.push((ms(second_at), FleetFault::Restart(i)));
             let agent = Node::Agent(i);
-            let beside = match rng.random_range(0..4) {
+            let other = match rng.random_range(0..4) {
                 0 => FleetFault::Freeze(agent, ms(600)),
                 1 => FleetFault::Kill(agent),
                 2 => FleetFault::LateReports(i, ms(3_000)),
-                _ => random_strike(&mut rng),
+                _ => random_fault(&mut rng),
             };
-            strikes.push((ms(again - rng.random_range(0..300)), beside));
+            faults.push((ms(second_at - rng.random_range(0..300)), other));
         }
-        let fleet = play(seed, &strikes);
-        assert_kept(&fleet, &format!("seed {seed}, {strikes:?}"));
+        let fleet = simulate(seed, &faults);
+        assert_invariants(&fleet, &format!("seed {seed}, {faults:?}"));
         served.push(fleet.served(ms(8_000), LOAD_TO));
     }
     let mean = served.iter().sum::<f64>() / served.len() as f64;
@@ -262,52 +264,52 @@
 fn test_run_until_restarts_under_overload_keep_invariants() {
     for seed in 0..60 {
         let mut rng = ChaCha8Rng::seed_from_u64(30_000 + seed);
-        let mut strikes = Vec::new();
+        let mut faults = Vec::new();
         for _ in 0..6 {
             let i = rng.random_range(0..AGENTS);
-            strikes.push((ms(rng.random_range(600..7_000)), FleetFault::Restart(i)));
-            strikes.push((ms(rng.random_range(600..7_000)), random_strike(&mut rng)));
+            faults.push((ms(rng.random_range(600..7_000)), FleetFault::Restart(i)));
+            faults.push((ms(rng.random_range(600..7_000)), random_fault(&mut rng)));
         }
-        let fleet = play_under(OVERLOAD, seed, &strikes);
-        assert_kept(&fleet, &format!("seed {seed}, {strikes:?}"));
+        let fleet = simulate_under(OVERLOAD, seed, &faults);
+        assert_invariants(&fleet, &format!("seed {seed}, {faults:?}"));
     }
 }
 
 #[test]
-fn test_run_until_leave_behind_a_restart_is_obeyed() {
+fn test_run_until_leave_after_a_restart_is_obeyed() {
     for seed in 0..20 {
-        let left = ms(2_500 + 100 * seed);
-        let strikes = [
+        let left_at = ms(2_500 + 100 * seed);
+        let faults = [
             (ms(2_000), FleetFault::Restart(1)),
-            (left, FleetFault::Leave(1)),
+            (left_at, FleetFault::Leave(1)),
         ];
-        let fleet = play(seed, &strikes);
-        assert_kept(&fleet, &format!("seed {seed}"));
-        assert_eq!(fleet.starts_after_leaving(1, left), 0, "seed {seed}");
+        let fleet = simulate(seed, &faults);
+        assert_invariants(&fleet, &format!("seed {seed}"));
+        assert_eq!(fleet.starts_after_leaving(1, left_at), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn test_run_until_reports_of_other_writers_change_nothing() {
-    // They come beside restarts, crashes, late reports and agents that lose their memory.
+fn test_run_until_foreign_reports_change_nothing() {
+    // Foreign reports arrive during restarts, crashes, late reports and losses of agents' memory.
     let mut served = Vec::new();
     for seed in 0..100 {
         let mut rng = ChaCha8Rng::seed_from_u64(40_000 + seed);
-        let mut strikes = Vec::new();
+        let mut faults = Vec::new();
         for i in 0..AGENTS {
-            strikes.push((ms(700), FleetFault::ForeignReports(i, ms(11_000))));
+            faults.push((ms(700), FleetFault::ForeignReports(i, ms(11_000))));
             let at = ms(rng.random_range(600..6_000));
-            let strike = match rng.random_range(0..5) {
+            let fault = match rng.random_range(0..5) {
                 0 => FleetFault::Restart(i),
                 1 => FleetFault::Crash(i),
                 2 => FleetFault::Kill(Node::Agent(i)),
                 3 => FleetFault::LateReports(i, ms(3_000)),
-                _ => random_strike(&mut rng),
+                _ => random_fault(&mut rng),
             };
-            strikes.push((at, strike));
+            faults.push((at, fault));
         }
-        let fleet = play(seed, &strikes);
-        assert_kept(&fleet, &format!("seed {seed}, {strikes:?}"));
+        let fleet = simulate(seed, &faults);
+        assert_invariants(&fleet, &format!("seed {seed}, {faults:?}"));
         served.push(fleet.served(ms(8_000), LOAD_TO));
     }
     let mean = served.iter().sum::<f64>() / served.len() as f64;
@@ -315,21 +317,21 @@
 }
 
 #[test]
-fn test_run_until_leave_beside_other_writers_is_obeyed() {
+fn test_run_until_leave_with_foreign_reports_is_obeyed() {
     for seed in 0..20 {
-        let left = ms(2_500 + 100 * seed);
-        let strikes = [
+        let left_at = ms(2_500 + 100 * seed);
+        let faults = [
             (ms(600), FleetFault::ForeignReports(1, ms(11_000))),
             (ms(2_000), FleetFault::Restart(1)),
-            (left, FleetFault::Leave(1)),
+            (left_at, FleetFault::Leave(1)),
         ];
-        let fleet = play(seed, &strikes);
-        assert_kept(&fleet, &format!("seed {seed}"));
-        assert_eq!(fleet.starts_after_leaving(1, left), 0, "seed {seed}");
+        let fleet = simulate(seed, &faults);
+        assert_invariants(&fleet, &format!("seed {seed}"));
+        assert_eq!(fleet.starts_after_leaving(1, left_at), 0, "seed {seed}");
     }
 }
 
-/// Bounds of platforms unlike the usual one: lease, stop, grace, callers' return, in milliseconds.
+/// Other platform bounds: lease, stop time, grace and callers' return, in milliseconds.
 const OTHER_BOUNDS: [(u64, u64, u64, u64); 4] = [
     (400, 50, 6_000, 1_300),
     (3_000, 50, 12_000, 1_300),
@@ -349,63 +351,63 @@
         for seed in 0..40 {
             let mut rng = ChaCha8Rng::seed_from_u64(1_000 * index as u64 + seed);
             let count = rng.random_range(2..9);
-            let strikes: Vec<(Now, FleetFault)> = (0..count)
-                .map(|_| (ms(rng.random_range(600..7_000)), random_strike(&mut rng)))
+            let faults: Vec<(Now, FleetFault)> = (0..count)
+                .map(|_| (ms(rng.random_range(600..7_000)), random_fault(&mut rng)))
                 .collect();
             let mut fleet = RunFleet::with_bounds(seed, bounds);
             fleet.load(LOAD_FROM, LOAD_TO, LOAD);
-            for (at, strike) in &strikes {
-                fleet.inject(*at, *strike);
+            for (at, fault) in &faults {
+                fleet.inject(*at, *fault);
             }
             fleet.run_until(END + bounds.caller_return * 3);
-            assert_kept(&fleet, &format!("{bounds:?}, seed {seed}, {strikes:?}"));
+            assert_invariants(&fleet, &format!("{bounds:?}, seed {seed}, {faults:?}"));
         }
     }
 }
 
 #[test]
 fn test_run_until_more_entries_than_preferred_entries_keep_invariants() {
-    // Agents choose among the entries, move links as these come and go, and give surplus links up.
+    // Agents link to some entries, move links as entries come and go, and drop surplus links.
     let entries = 2 * PREFERRED_COUNT;
     let mut served = Vec::new();
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(5_000 + seed);
-        let shape = FleetConfig {
+        let fleet_config = FleetConfig {
             entries,
-            // With fewer, some entry of twice the homes has no target at all.
+            // With fewer agents, some entries would have no target.
             agents: 12,
             ..FleetConfig::default()
         };
-        let mut fleet = RunFleet::with_config(seed, shape, testutils::run_fleet::config());
+        let mut fleet = RunFleet::with_config(seed, fleet_config, testutils::run_fleet::config());
         fleet.load(LOAD_FROM, LOAD_TO, LOAD);
-        let mut strikes = Vec::new();
+        let mut faults = Vec::new();
         for _ in 0..rng.random_range(2..9) {
-            strikes.push((ms(rng.random_range(600..7_000)), random_strike(&mut rng)));
+            faults.push((ms(rng.random_range(600..7_000)), random_fault(&mut rng)));
         }
-        // Some entries are killed or lose power besides, so that links move while work runs.
+        // Killed entries and power losses make links move while work runs.
         for _ in 0..rng.random_range(4..20) {
             let node = Node::Entry(rng.random_range(0..entries));
-            let strike = match rng.random_bool(0.5) {
+            let fault = match rng.random_bool(0.5) {
                 true => FleetFault::Kill(node),
                 false => FleetFault::PowerOff(node),
             };
-            strikes.push((ms(rng.random_range(600..7_000)), strike));
+            faults.push((ms(rng.random_range(600..7_000)), fault));
         }
-        for (at, strike) in &strikes {
-            fleet.inject(*at, *strike);
+        for (at, fault) in &faults {
+            fleet.inject(*at, *fault);
         }
         fleet.run_until(END);
-        assert_kept(&fleet, &format!("seed {seed}, {strikes:?}"));
+        assert_invariants(&fleet, &format!("seed {seed}, {faults:?}"));
         served.push(fleet.served(ms(8_000), LOAD_TO));
     }
-    // Some strikes last beyond the eighth second, and a seed has 18 batches after it.
+    // Some faults last beyond the eighth second, and a seed has few batches after it.
     let mean = served.iter().sum::<f64>() / served.len() as f64;
     assert!(mean > 0.95, "only {mean} served after it: {served:?}");
 }
 
 #[test]
 fn test_run_until_cancelled_work_does_not_go_on() {
-    // Orders are carried out late, agents are killed and entries die while batches are cancelled.
+    // Orders are late, agents are killed and entries lose power while batches are cancelled.
     let mut cancelled = 0;
     for seed in 0..60 {
         let mut rng = ChaCha8Rng::seed_from_u64(9_000 + seed);
@@ -429,7 +431,7 @@
             FleetFault::PowerOff(entry),
         );
         fleet.run_until(END);
-        assert_kept(&fleet, &format!("seed {seed}"));
+        assert_invariants(&fleet, &format!("seed {seed}"));
         let unasked = fleet.unasked(CANCELLED_BOUND);
         assert!(unasked.is_empty(), "seed {seed}: {unasked:#?}");
         cancelled += fleet
@@ -443,37 +445,37 @@
 
 #[test]
 fn test_run_until_leaving_target_gets_no_work() {
-    let left = ms(2_000);
-    let fleet = play(7, &[(left, FleetFault::Leave(1))]);
-    assert_kept(&fleet, "leave");
-    // It is told with the next report, and acknowledged at once.
-    assert_eq!(fleet.starts_after_leaving(1, left), 0);
+    let left_at = ms(2_000);
+    let fleet = simulate(7, &[(left_at, FleetFault::Leave(1))]);
+    assert_invariants(&fleet, "leave");
+    // The target's next report announces that it leaves, and is acknowledged at once.
+    assert_eq!(fleet.starts_after_leaving(1, left_at), 0);
 }
 
 #[test]
 fn test_run_until_same_seed_same_run() {
-    let strikes = [(ms(2_000), FleetFault::Kill(Node::Agent(1)))];
-    let (first, second) = (play(3, &strikes), play(3, &strikes));
+    let faults = [(ms(2_000), FleetFault::Kill(Node::Agent(1)))];
+    let (first, second) = (simulate(3, &faults), simulate(3, &faults));
     assert_eq!(first.log, second.log);
 }
 
-/// How long after its order an evacuation must be obeyed.
+/// Time within which an evacuation must take effect everywhere.
 const EVACUATION_BOUND: Duration = ms(5_000);
 const EVACUATION_LOAD_TO: Now = ms(12_000);
-/// Callers whose time is up come again, with 2.5 s each.
+/// Leaves time for callers that retry after their deadline, with 2.5 s per attempt.
 const EVACUATION_END: Now = ms(24_000);
-/// How long it takes when nothing else is wrong: an answer of the store and two links.
-const EVACUATION_USUAL: Duration = ms(50);
+/// Time until an evacuation takes effect without other faults: a store read and two links.
+const EVACUATION_DELAY: Duration = ms(50);
 
 fn fleet_of_halls(seed: u64) -> RunFleet {
-    let shape = FleetConfig {
+    let fleet_config = FleetConfig {
         agents: 6,
         halls: 3,
         entries_meet: true,
         evacuation_bound: Some(EVACUATION_BOUND),
         ..FleetConfig::default()
     };
-    let mut fleet = RunFleet::with_config(seed, shape, testutils::run_fleet::config());
+    let mut fleet = RunFleet::with_config(seed, fleet_config, testutils::run_fleet::config());
     fleet.load(LOAD_FROM, EVACUATION_LOAD_TO, LOAD);
     fleet
 }
@@ -486,22 +488,22 @@
         fleet.inject(ms(2_000), FleetFault::Evacuate(1));
         fleet.inject(ms(8_000), FleetFault::GiveBack(1));
         fleet.run_until(EVACUATION_END);
-        assert_kept(&fleet, &format!("seed {seed}"));
+        assert_invariants(&fleet, &format!("seed {seed}"));
         assert_eq!(
-            fleet.starts_in_evacuated(EVACUATION_USUAL),
+            fleet.starts_in_evacuated(EVACUATION_DELAY),
             0,
             "seed {seed}"
         );
         served.push(fleet.served(ms(2_000), ms(8_000)));
     }
-    // The other halls carry it, but for one seed with a moment of more batches than they have room.
+    // The other halls carry the load, except for short peaks.
     let mean = served.iter().sum::<f64>() / served.len() as f64;
     assert!(mean > 0.995, "only {mean} served: {served:?}");
 }
 
 #[test]
 fn test_run_until_evacuations_are_obeyed_by_processes_cut_off_from_the_store() {
-    // All entries are cut off from the store, and the agents are not: they ask it themselves.
+    // All entries are cut off from the store. The agents are not, and query it themselves.
     for seed in 0..10 {
         let mut fleet = fleet_of_halls(seed);
         for entry in 0..ENTRIES {
@@ -512,16 +514,16 @@
         }
         fleet.inject(ms(2_000), FleetFault::Evacuate(1));
         fleet.run_until(EVACUATION_END);
-        assert_kept(&fleet, &format!("seed {seed}"));
+        assert_invariants(&fleet, &format!("seed {seed}"));
         let late = fleet.starts_after_evacuation();
         assert!(late.is_empty(), "seed {seed}: {late:#?}");
-        // Well within the bound: the agents' question, and nobody sends there any more.
+        // The agents' own queries take effect well within the bound.
         assert_eq!(fleet.starts_in_evacuated(ms(1_700)), 0, "seed {seed}");
     }
 }
 
 #[test]
-fn test_run_until_evacuation_reaches_entries_through_one_that_hears_of_it() {
+fn test_run_until_evacuation_reaches_entries_through_one_that_knows_of_it() {
     for seed in 0..10 {
         let mut fleet = fleet_of_halls(seed);
         for entry in 1..ENTRIES {
@@ -532,9 +534,9 @@
         }
         fleet.inject(ms(2_000), FleetFault::Evacuate(1));
         fleet.run_until(EVACUATION_END);
-        assert_kept(&fleet, &format!("seed {seed}"));
+        assert_invariants(&fleet, &format!("seed {seed}"));
         assert_eq!(
-            fleet.starts_in_evacuated(EVACUATION_USUAL),
+            fleet.starts_in_evacuated(EVACUATION_DELAY),
             0,
             "seed {seed}"
         );
@@ -546,19 +548,19 @@
     let mut evacuated = 0;
     for seed in 0..120 {
         let mut rng = ChaCha8Rng::seed_from_u64(70_000 + seed);
-        let mut strikes = Vec::new();
+        let mut faults = Vec::new();
         for _ in 0..rng.random_range(1..5) {
             let hall = rng.random_range(0..3);
             let from = rng.random_range(600..6_000);
-            strikes.push((ms(from), FleetFault::Evacuate(hall)));
+            faults.push((ms(from), FleetFault::Evacuate(hall)));
             if rng.random_bool(0.6) {
                 let to = from + rng.random_range(50..6_000);
-                strikes.push((ms(to), FleetFault::GiveBack(hall)));
+                faults.push((ms(to), FleetFault::GiveBack(hall)));
             }
             evacuated += 1;
         }
         for _ in 0..rng.random_range(0..7) {
-            strikes.push((ms(rng.random_range(600..7_000)), random_strike(&mut rng)));
+            faults.push((ms(rng.random_range(600..7_000)), random_fault(&mut rng)));
         }
         for _ in 0..rng.random_range(0..4) {
             let node = match rng.random_bool(0.7) {
@@ -566,41 +568,41 @@
                 false => Node::Agent(rng.random_range(0..6)),
             };
             let length = ms(rng.random_range(500..9_000));
-            strikes.push((
+            faults.push((
                 ms(rng.random_range(600..6_000)),
                 FleetFault::StoreCut(node, length),
             ));
         }
         if rng.random_bool(0.2) {
             let length = ms(rng.random_range(500..3_000));
-            strikes.push((
+            faults.push((
                 ms(rng.random_range(600..6_000)),
                 FleetFault::StoreDown(length),
             ));
         }
         let mut fleet = fleet_of_halls(seed);
-        for (at, strike) in &strikes {
-            fleet.inject(*at, *strike);
+        for (at, fault) in &faults {
+            fleet.inject(*at, *fault);
         }
         fleet.run_until(EVACUATION_END);
-        assert_kept(&fleet, &format!("seed {seed}, {strikes:?}"));
+        assert_invariants(&fleet, &format!("seed {seed}, {faults:?}"));
         let late = fleet.starts_after_evacuation();
-        assert!(late.is_empty(), "seed {seed}, {strikes:?}: {late:#?}");
+        assert!(late.is_empty(), "seed {seed}, {faults:?}: {late:#?}");
     }
     assert!(evacuated > 200, "only {evacuated} evacuations");
 }
 
 #[test]
-fn test_run_until_entries_that_are_back_before_the_seeds_are_found() {
-    // Everything loses power at 2 s and is back at 2.9 s, but for the only seed, which is back at 3.9 s.
+fn test_run_until_entries_that_return_before_the_seed_are_found() {
+    // All processes lose power at 2 s and return at 2.9 s, except the only seed, back at 3.9 s.
     for seed in 0..10 {
-        let shape = FleetConfig {
+        let fleet_config = FleetConfig {
             entries: 4,
             seeds: Some(1),
             evacuation_bound: Some(EVACUATION_BOUND),
             ..FleetConfig::default()
         };
-        let mut fleet = RunFleet::with_config(seed, shape, testutils::run_fleet::config());
+        let mut fleet = RunFleet::with_config(seed, fleet_config, testutils::run_fleet::config());
         fleet.load(ms(3_050), ms(3_700), LOAD);
         for entry in 0..4 {
             fleet.inject(ms(2_000), FleetFault::PowerOff(Node::Entry(entry)));
@@ -610,7 +612,7 @@
         }
         fleet.inject(ms(2_950), FleetFault::PowerOff(Node::Entry(0)));
         fleet.run_until(END);
-        assert_kept(&fleet, &format!("seed {seed}"));
+        assert_invariants(&fleet, &format!("seed {seed}"));
         let served = fleet.served(ms(3_050), ms(3_700));
         assert!(served > 0.99, "seed {seed}: {served}");
     }
--- a/lib/tests/test_target_health.rs
+++ b/lib/tests/test_target_health.rs
@@ -1,4 +1,4 @@
-//! What an agent makes of its target's runs.
+//! Health reports that an agent derives from its target's runs.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn test_word_two_failures_set_aside_and_three_successes_bring_back() {
+fn test_word_two_failures_eject_and_three_successes_readmit() {
     let mut health = TargetHealth::default();
     health.run_failed();
     assert!(
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn test_word_one_batch_with_a_wrong_estimate_says_nothing() {
+fn test_word_one_batch_with_a_wrong_estimate_is_ignored() {
     let mut health = TargetHealth::default();
     let slow = SlowRun {
         slowdown: 12.0,
@@ -42,15 +42,15 @@
 }
 
 #[test]
-fn test_word_standing_run_counts_at_once() {
+fn test_word_stalled_run_counts_at_once() {
     let mut health = TargetHealth::default();
-    let standing = SlowRun {
+    let stalled = SlowRun {
         slowdown: 30.0,
         percent: 1,
     };
-    health.run_slow(ms(10), 1, standing);
+    health.run_slow(ms(10), 1, stalled);
     assert!(health.word().slowdown() > 2.6);
-    // Two sound probes bring it back.
+    // Successful probes lower it again.
     for _ in 0..3 {
         health.run_done(1.0);
     }
--- a/lib/tests/test_target_registry.rs
+++ b/lib/tests/test_target_registry.rs
@@ -1,4 +1,4 @@
-//! Which target gets a task, as far as its agent's word on its health decides.
+//! Choice of targets by the health reports of their agents.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 use trestleknot_lib::target_incarnation::TargetIncarnation;
 use trestleknot_lib::target_registry::{EjectionChange, LoadReport, Need, TargetRegistry};
 
-const BAD: u64 = 1;
-const SOUND: u64 = 2;
+const FAILING: u64 = 1;
+const HEALTHY: u64 = 2;
 
 const fn ms(millis: u64) -> Now {
     Duration::from_millis(millis)
@@ -33,7 +33,7 @@
     accelerators: 0,
 };
 
-fn word(health: HealthReport) -> LoadReport {
+fn load_report(health: HealthReport) -> LoadReport {
     LoadReport {
         clock: 0,
         free: ALL,
@@ -49,12 +49,12 @@
     }
 }
 
-/// A board of a target that fails and one that is sound but full.
-fn board() -> TargetRegistry {
-    let mut board = TargetRegistry::default();
-    for link in [BAD, SOUND] {
-        board.join(ms(1), link, format!("agent-{link}").into(), "hall".into());
-        let view = board.get_mut(link).expect("it has joined");
+/// A registry with a failing target and a healthy one without free capacity.
+fn registry() -> TargetRegistry {
+    let mut registry = TargetRegistry::default();
+    for link in [FAILING, HEALTHY] {
+        registry.join(ms(1), link, format!("agent-{link}").into(), "hall".into());
+        let view = registry.get_mut(link).expect("it has joined");
         view.info = Some(TargetInfo {
             life: TargetIncarnation {
                 name: "life".into(),
@@ -68,10 +68,10 @@
     }
     let full = LoadReport {
         free: Resources::NONE,
-        ..word(HealthReport::default())
+        ..load_report(HealthReport::default())
     };
-    board.heard(ms(1), SOUND, full);
-    board
+    registry.heard(ms(1), HEALTHY, full);
+    registry
 }
 
 fn queue() -> Queue {
@@ -88,15 +88,15 @@
     }
 }
 
-/// Tasks that the failing target gets in 6 s, if it is tried every 10 ms.
-fn probes(board: &mut TargetRegistry) -> u32 {
+/// Counts the tasks that the failing target gets in 6 s with a placement every 10 ms.
+fn probes(registry: &mut TargetRegistry) -> u32 {
     let queue = queue();
     let hall: HallName = "hall".into();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let mut probes = 0;
     for step in 0..600 {
         let now = ms(10 + 10 * step);
-        board.heard(now, BAD, word(failing()));
+        registry.heard(now, FAILING, load_report(failing()));
         let need = Need {
             size: TASK,
             queue: &queue,
@@ -107,9 +107,9 @@
             payload_cost: 0.0,
             is_idle: false,
         };
-        if let Some(link) = board.choose(now, &need, &hall, |_| false, &mut rng) {
-            assert_eq!(link, BAD);
-            board.sent_start(now, link, TASK);
+        if let Some(link) = registry.choose(now, &need, &hall, |_| false, &mut rng) {
+            assert_eq!(link, FAILING);
+            registry.sent_start(now, link, TASK);
             probes += 1;
         }
     }
@@ -118,53 +118,59 @@
 
 #[test]
 fn test_heard_ejection_change_by_health() {
-    let mut board = board();
+    let mut registry = registry();
     assert_eq!(
-        board.heard(ms(2), BAD, word(failing())),
+        registry.heard(ms(2), FAILING, load_report(failing())),
         EjectionChange::Ejected
     );
     assert_eq!(
-        board.heard(ms(3), BAD, word(failing())),
+        registry.heard(ms(3), FAILING, load_report(failing())),
         EjectionChange::Unchanged
     );
-    let sound = word(HealthReport::default());
-    assert_eq!(board.heard(ms(4), BAD, sound), EjectionChange::Readmitted);
+    let healthy = load_report(HealthReport::default());
+    assert_eq!(
+        registry.heard(ms(4), FAILING, healthy),
+        EjectionChange::Readmitted
+    );
 }
 
 #[test]
 fn test_choose_ejected_gets_probes_only() {
-    assert_eq!(probes(&mut board()), 9);
+    assert_eq!(probes(&mut registry()), 9);
 }
 
 #[test]
 fn test_choose_many_entries_share_the_probes() {
-    let mut board = board();
-    board.note_entries(12);
-    assert_eq!(probes(&mut board), 3);
+    let mut registry = registry();
+    registry.note_entries(12);
+    assert_eq!(probes(&mut registry), 3);
 }
 
 #[test]
-fn test_choose_evacuated_target_gets_nothing_and_is_no_yardstick() {
-    let mut board = board();
-    board.join(ms(1), 3, "agent-3".into(), "maadi".into());
-    let info = board.get(SOUND).and_then(|v| v.info.clone());
-    board.get_mut(3).expect("it has joined").info = info;
-    let paced = |pace_percent| {
-        word(HealthReport {
+fn test_choose_evacuated_target_gets_nothing_and_is_no_reference() {
+    let mut registry = registry();
+    registry.join(ms(1), 3, "agent-3".into(), "maadi".into());
+    let info = registry.get(HEALTHY).and_then(|v| v.info.clone());
+    registry.get_mut(3).expect("it has joined").info = info;
+    let with_pace = |pace_percent| {
+        load_report(HealthReport {
             pace_percent,
             failed_percent: 0,
         })
     };
-    // Against the one in the evacuated hall, both others would be too slow.
-    board.heard(ms(10), BAD, paced(300));
-    board.heard(ms(10), SOUND, paced(300));
-    board.heard(ms(10), 3, paced(100));
-    board.note_evacuations(&Arc::new(EvacuatedHalls {
+    // Compared with the target in the evacuated hall, both others would count as too slow.
+    registry.heard(ms(10), FAILING, with_pace(300));
+    registry.heard(ms(10), HEALTHY, with_pace(300));
+    registry.heard(ms(10), 3, with_pace(100));
+    registry.note_evacuations(&Arc::new(EvacuatedHalls {
         place: 1,
         halls: [HallName::from("maadi")].into(),
     }));
-    assert!(!board.is_ejected(ms(11), SOUND));
-    assert_eq!((board.usable(ms(11)), board.reachable(ms(11))), (2, 3));
+    assert!(!registry.is_ejected(ms(11), HEALTHY));
+    assert_eq!(
+        (registry.usable(ms(11)), registry.reachable(ms(11))),
+        (2, 3)
+    );
     let queue = queue();
     let hall: HallName = "hall".into();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -179,7 +185,7 @@
             payload_cost: 0.0,
             is_idle: false,
         };
-        let chosen = board.choose(ms(11), &need, &hall, |_| false, &mut rng);
-        assert!(matches!(chosen, Some(BAD | SOUND)), "{chosen:?}");
+        let chosen = registry.choose(ms(11), &need, &hall, |_| false, &mut rng);
+        assert!(matches!(chosen, Some(FAILING | HEALTHY)), "{chosen:?}");
     }
 }
--- a/lib/tests/test_timings.rs
+++ b/lib/tests/test_timings.rs
@@ -1,4 +1,4 @@
-//! The chain of times holds for whatever bounds the platform names.
+//! Timings derived from any accepted platform bounds keep the required order.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     Duration::from_millis(millis)
 }
 
-/// How long a lease lasts on a target's clock that is 2% slow.
+/// Duration of a lease on a target whose clock is 2% slow.
 fn slow(lease: Duration) -> Duration {
     lease.mul_f64(1.02)
 }
@@ -21,39 +21,39 @@
         1_000..60_000u64,
         500..20_000u64,
     );
-    fields.prop_map(|(lease, stop, grace, back)| PlatformBounds {
+    fields.prop_map(|(lease, stop, grace, caller_return)| PlatformBounds {
         longest_lease: ms(lease),
-        stop_time: ms(stop.min(back / 10)),
+        stop_time: ms(stop.min(caller_return / 10)),
         shutdown_grace: ms(grace),
-        caller_return: ms(back),
+        caller_return: ms(caller_return),
     })
 }
 
 proptest! {
     #[test]
-    fn test_new_any_bounds_keep_the_chain(bounds in bounds()) {
+    fn test_new_any_bounds_keep_the_order(bounds in bounds()) {
         let t = Timings::new(bounds).expect("these bounds are accepted");
         let stop = bounds.stop_time;
-        // What a renewal held is over when the agent counts it as lapsed.
+        // Runs have been stopped when the agent counts their lease as lapsed.
         prop_assert!(slow(t.target_lease) + stop < t.lapse);
         prop_assert!(t.target_lease <= bounds.longest_lease);
-        // A lost renewal can be made good twice within a lease.
+        // A lost renewal can be repeated twice within a lease.
         prop_assert!(t.renewal_wait * 3 < t.target_lease);
-        // An entry takes a lost agent's runs for over after the agent, at its latest, let them go.
+        // An entry counts a lost agent's runs as ended only after the agent has released them.
         prop_assert!(t.entry_lease + t.stop_bound + t.lapse < t.lost_proof);
-        // A quiet agent is heard three times within an entry's word, and answered in time.
+        // An idle agent sends three heartbeats within an entry's lease and is answered in time.
         prop_assert!(t.heartbeat * 3 <= t.entry_lease);
         prop_assert!(t.heartbeat + t.answer_after() < t.entry_lease);
         prop_assert!(t.start_window < t.entry_lease);
-        // Callers of an entry that died, or fell silent, find its runs stopped.
-        let back = bounds.caller_return;
-        prop_assert!(t.reconnect_grace + stop < back);
-        prop_assert!(t.entry_lease + stop < back);
-        // So they do behind a target that fell silent at the same moment.
-        prop_assert!(t.reconnect_grace + slow(t.target_lease) < back);
-        // What is adopted and not claimed is stopped well within the lease that it was found with.
+        // The runs of a dead or silent entry are stopped before its callers return.
+        let caller_return = bounds.caller_return;
+        prop_assert!(t.reconnect_grace + stop < caller_return);
+        prop_assert!(t.entry_lease + stop < caller_return);
+        // This also holds if the target fell silent at the same moment.
+        prop_assert!(t.reconnect_grace + slow(t.target_lease) < caller_return);
+        // An adopted run without a claim is stopped well within the lease it was found with.
         prop_assert!(t.claim_grace * 2 < t.target_lease);
-        // Planned stops end before they are cut off.
+        // Planned stops end before the platform kills the process.
         let grace = bounds.shutdown_grace;
         prop_assert!(t.serve_on < t.entry_stop);
         prop_assert!(t.entry_stop + ms(100) < grace);
@@ -62,32 +62,32 @@
 }
 
 #[test]
-fn test_new_usual_bounds() {
+fn test_new_default_bounds() {
     insta::assert_debug_snapshot!(Timings::default());
 }
 
 #[test]
 fn test_new_impossible_bounds_are_named() {
-    let usual = PlatformBounds::default();
+    let defaults = PlatformBounds::default();
     let lease = PlatformBounds {
         longest_lease: ms(100),
-        ..usual
+        ..defaults
     };
     let stop = PlatformBounds {
         stop_time: ms(2_500),
-        ..usual
+        ..defaults
     };
     let grace = PlatformBounds {
         shutdown_grace: ms(300),
-        ..usual
+        ..defaults
     };
-    let back = PlatformBounds {
+    let caller_return = PlatformBounds {
         caller_return: ms(200),
-        ..usual
+        ..defaults
     };
     let slow_stop = PlatformBounds {
         stop_time: ms(200),
-        ..usual
+        ..defaults
     };
     assert_eq!(
         Timings::new(lease),
@@ -102,7 +102,7 @@
         Err(TimingsError::ShutdownGrace { is: ms(300) })
     );
     assert_eq!(
-        Timings::new(back),
+        Timings::new(caller_return),
         Err(TimingsError::CallerReturn { is: ms(200) })
     );
     assert_eq!(
--- a/lib/tests/test_wait_forecast.rs
+++ b/lib/tests/test_wait_forecast.rs
@@ -1,4 +1,4 @@
-//! When room is forecast, and what a caller is told of it.
+//! Forecasts of the wait for free capacity, and the retry delay that callers get.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
     Duration::from_millis(millis)
 }
 
-/// A queue that has stood for a whole window, in which a task was placed every 10 ms.
-fn standing() -> (Now, WaitForecast) {
+/// A queue with a backlog for a whole window, in which a task was placed every 10 ms.
+fn backlogged() -> (Now, WaitForecast) {
     let mut forecast = WaitForecast::default();
     let mut now = ms(1_000);
     for _ in 0..=WINDOW.as_millis() / 10 {
@@ -31,25 +31,25 @@
 }
 
 #[test]
-fn test_wait_for_backlog_follows_the_pace_of_placing() {
-    let (now, forecast) = standing();
+fn test_wait_for_backlog_follows_the_placement_rate() {
+    let (now, forecast) = backlogged();
     assert_eq!(forecast.wait_for(now, 5), Some(ms(50)));
     assert_eq!(forecast.wait_for(now, 50), Some(ms(500)));
 }
 
 #[test]
-fn test_wait_for_orders_that_found_no_room_do_not_count() {
-    let (now, mut forecast) = standing();
+fn test_wait_for_returned_orders_do_not_count() {
+    let (now, mut forecast) = backlogged();
     for _ in 0..5 {
         forecast.note_returned();
     }
-    // 20 of 25 tasks found a place.
+    // 20 of 25 tasks were placed.
     assert_eq!(forecast.wait_for(now, 8), Some(ms(100)));
 }
 
 #[test]
 fn test_wait_for_emptied_queue_is_not_known_any_more() {
-    let (now, mut forecast) = standing();
+    let (now, mut forecast) = backlogged();
     forecast.note_waiting(now + ms(1), false);
     forecast.note_waiting(now + ms(2), true);
     assert_eq!(forecast.wait_for(now + ms(3), 8), None);
@@ -57,14 +57,14 @@
 
 #[test]
 fn test_wait_for_nothing_placed_is_long() {
-    let (now, mut forecast) = standing();
+    let (now, mut forecast) = backlogged();
     let later = now + WINDOW;
     forecast.note_waiting(later, true);
     assert_eq!(forecast.wait_for(later, 1), Some(ms(1_000)));
 }
 
 #[test]
-fn test_return_after_crowd_is_spread() {
+fn test_return_after_is_spread_and_bounded() {
     assert_eq!(return_after(ms(400), 0.0), ms(400));
     assert_eq!(return_after(ms(400), 1.0), ms(800));
     assert_eq!(return_after(ms(1), 0.0), ms(100));
