--- a/lib/testutils/src/faults.rs
+++ b/lib/testutils/src/faults.rs
@@ -1,51 +1,51 @@
-//! The faults of the brief and the steps at which they strike.
+//! Faults and the steps at which they are injected.
 
 use std::time::Duration;
 
-/// A fault. Those that last do so for [`crate::virtual_fleet::FAULT_LENGTH`].
+/// A fault. Lasting ones end after [`crate::virtual_fleet::FAULT_LENGTH`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Fault {
-    /// The entry's process dies and a new life begins.
+    /// The entry's process dies and restarts.
     EntryDies,
-    /// The agent's process dies and a new life begins; its tasks run on until their leases end.
+    /// The agent's process dies and restarts; its tasks run until their leases lapse.
     AgentDies,
-    /// The VM of a target dies with its agent and is replaced.
+    /// The VM of a target dies together with its agent and is replaced.
     TargetDies,
     /// The target refuses connections.
     TargetRefuses,
-    /// Nothing passes between the entry and the agent.
+    /// Frames between the entry and the agent are lost.
     CutBothWays,
-    /// Nothing passes from the entry to the agent.
+    /// Frames from the entry to the agent are lost.
     CutToAgent,
-    /// Nothing passes from the agent to the entry.
+    /// Frames from the agent to the entry are lost.
     CutToEntry,
-    /// The connection breaks and is made again.
+    /// The connection breaks and is dialled again.
     SessionBreaks,
     /// The next frame is lost.
     FrameLost,
-    /// The next frames arrive twice.
+    /// The next two frames arrive twice.
     FrameDoubled,
-    /// The next frame is late.
+    /// The next frame is delayed.
     FrameLate,
-    /// The next frame is overtaken by the one after it.
+    /// The next frame is overtaken by the following one.
     FramesReordered,
-    /// The entry's process stands still for longer than a lease.
+    /// The entry's process stalls for longer than a lease.
     EntryPauses,
-    /// The agent's process stands still for longer than a lease.
+    /// The agent's process stalls for longer than a lease.
     AgentPauses,
-    /// The entry's clock steps an hour.
+    /// The entry's clock steps forward by an hour.
     EntryClockSteps,
-    /// The agent's clock steps an hour.
+    /// The agent's clock steps forward by an hour.
     AgentClockSteps,
     /// The log does not answer.
     LogDown,
     /// The log answers late.
     LogSlow,
-    /// Appends take effect without a reply.
+    /// Appends to the log take effect, but the replies are lost.
     LogRepliesLost,
-    /// All records of the log expire that are older than its retention.
+    /// All records older than the log's retention expire.
     LogExpires,
-    /// The VM list shows what was.
+    /// The VM list is outdated.
     ListStale,
     /// The VM list does not answer.
     ListDown,
@@ -77,32 +77,32 @@
     Fault::ListDown,
 ];
 
-/// A step of a job's, a configuration's, a drain's or a session's way.
+/// A step in the life cycle of a job, a configuration, a drain or a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Step {
     /// A request has left its caller.
     Submitted,
-    /// An entry has let it in.
+    /// An entry has admitted the request.
     Admitted,
-    /// The claim on its permit goes out.
+    /// The claim on its permit is about to be sent.
     PermitClaimed,
-    /// A dispatch is about to go out.
+    /// A dispatch is about to be sent.
     Dispatched,
-    /// A dispatch is on its way to being received.
+    /// A dispatch has been sent but not received.
     Received,
     /// A task has started on its target.
     Started,
     /// A task has ended on its target.
     Finished,
-    /// A result is about to go out.
+    /// A result is about to be sent.
     ResultSent,
     /// The caller has been answered.
     Answered,
-    /// A change has been appended.
+    /// A configuration change has been appended to the log.
     ConfigAppended,
-    /// An entry is about to read a change.
+    /// An entry is about to receive records of the log.
     ConfigRead,
-    /// A change is in force at an entry.
+    /// A configuration change is in force at an entry.
     ConfigInForce,
     /// A drain has begun.
     DrainBegun,
@@ -110,7 +110,7 @@
     DrainEnded,
     /// A session has been lost.
     SessionLost,
-    /// A session has been made again.
+    /// A session has been established again.
     SessionResumed,
 }
 
@@ -134,27 +134,27 @@
     Step::SessionResumed,
 ];
 
-/// A fault and when it strikes.
+/// A fault and the step at which it is injected.
 #[derive(Debug, Clone, Copy)]
 pub struct PlannedFault {
-    /// At this step.
+    /// The step.
     pub step: Step,
-    /// Not before this time.
+    /// Earliest time of the injection.
     pub not_before: Duration,
-    /// This fault.
+    /// The fault.
     pub fault: Fault,
-    /// Whether it has struck.
-    pub struck: bool,
+    /// Whether it has been injected.
+    pub injected: bool,
 }
 
 impl PlannedFault {
-    /// A fault at the first time that a step is reached after the fleet has found itself.
+    /// A fault that is injected when `step` is first reached at or after `not_before`.
     pub fn at(step: Step, not_before: Duration, fault: Fault) -> Self {
         Self {
             step,
             not_before,
             fault,
-            struck: false,
+            injected: false,
         }
     }
 }
--- a/lib/testutils/src/invariants.rs
+++ b/lib/testutils/src/invariants.rs
@@ -1,4 +1,4 @@
-//! The promises of the brief, checked on what a virtual fleet did.
+//! Checks the invariants of a simulated fleet after a run.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 
 use crate::virtual_fleet::{FAULT_LENGTH, Request, VirtualFleet};
 
-/// How much later than its deadline an answer may come: a tick, or the pause of its entry.
+/// How much later than the deadline and a pause of the entry an answer may arrive.
 const DEADLINE_GRACE: Duration = Duration::from_millis(100);
 
-/// The promises that were broken, in words. Call after a long quiet time.
+/// Describes every violated invariant. Call once the fleet has been idle for a long time.
 pub fn violations(fleet: &VirtualFleet, entries: usize, agents: usize) -> Vec<String> {
     let mut violations = Vec::new();
     check_starts(fleet, &mut violations);
@@ -18,7 +18,7 @@
         check_answer(fleet, request, &mut violations);
     }
     check_configuration(fleet, entries, &mut violations);
-    check_quiet(fleet, entries, agents, &mut violations);
+    check_idle(fleet, entries, agents, &mut violations);
     if fleet.starts_while_leaving > 0 {
         violations.push(format!(
             "{} tasks started on a leaving target",
@@ -28,7 +28,7 @@
     violations
 }
 
-/// No task of a submission starts twice; no permitted request runs twice at all.
+/// Checks that no task of a job starts twice, and that no request with a permit runs twice.
 fn check_starts(fleet: &VirtualFleet, violations: &mut Vec<String>) {
     let mut by_task = HashMap::new();
     let mut by_payload: HashMap<&str, u32> = HashMap::new();
@@ -45,7 +45,10 @@
         let payload = payload_of(request, 0);
         let n = by_payload.get(&*payload).copied().unwrap_or(0);
         if n > 1 {
-            violations.push(format!("{} must run once and ran {n} times", request.name));
+            violations.push(format!(
+                "{} must run at most once but ran {n} times",
+                request.name
+            ));
         }
     }
 }
@@ -54,7 +57,7 @@
     format!("{}/{task}/{}", request.name, request.run.as_millis())
 }
 
-/// One answer, whole or failed or refused, true, and in time.
+/// Checks that a request got one answer, in time and consistent with the tasks that started.
 fn check_answer(fleet: &VirtualFleet, request: &Request, violations: &mut Vec<String>) {
     let name = &request.name;
     if request.answers.len() > 1 {
@@ -64,7 +67,7 @@
         ));
     }
     let Some(timed) = request.answers.first() else {
-        if fleet.entry_lives_on(request) {
+        if fleet.entry_still_runs(request) {
             violations.push(format!("{name} was never answered"));
         }
         return;
@@ -73,7 +76,7 @@
     if timed.at > latest {
         violations.push(format!("{name} was answered at {:?}", timed.at));
     }
-    let shared = fleet.requests.values().filter(|r| r.name == *name).count() > 1;
+    let is_resubmitted = fleet.requests.values().filter(|r| r.name == *name).count() > 1;
     let started = (0..request.tasks).filter(|task| {
         let payload = payload_of(request, *task);
         fleet.starts.iter().any(|s| *s.payload == *payload)
@@ -81,21 +84,23 @@
     let started = started.count();
     match &timed.answer {
         Answer::Complete { results, .. } => {
-            let own = |(task, result): (usize, &std::sync::Arc<str>)| {
+            let is_own_result = |(task, result): (usize, &std::sync::Arc<str>)| {
                 **result == *payload_of(request, task)
             };
-            let whole = results.len() == request.tasks && results.iter().enumerate().all(own);
-            if !whole {
-                violations.push(format!("{name} got an answer that is not whole or its own"));
+            let is_complete =
+                results.len() == request.tasks && results.iter().enumerate().all(is_own_result);
+            if !is_complete {
+                violations.push(format!(
+                    "{name} got an incomplete answer or another request's results"
+                ));
             }
         }
-        // A resubmission shares its tasks' payloads with the first try, so only a request of
-        // its own shows by them that nothing of it ran.
+        // A resubmission shares payloads with the first attempt, so starts can't be told apart.
         Answer::Refused { .. }
         | Answer::Failed {
             may_have_run: false,
             ..
-        } if !shared && started > 0 => {
+        } if !is_resubmitted && started > 0 => {
             violations.push(format!(
                 "{name} was told that nothing ran, but {started} tasks did"
             ));
@@ -104,10 +109,10 @@
     }
 }
 
-/// The same newest configuration everywhere, and none went back.
+/// Checks that all entries hold the current configuration and never went back to an older one.
 fn check_configuration(fleet: &VirtualFleet, entries: usize, violations: &mut Vec<String>) {
-    if !fleet.versions_rose {
-        violations.push("a configuration went back".to_owned());
+    if !fleet.versions_monotonic {
+        violations.push("an entry went back to an older configuration".to_owned());
     }
     let stamps: Vec<_> = (0..entries)
         .filter_map(|index| fleet.entry(index))
@@ -116,18 +121,18 @@
     if stamps.windows(2).any(|pair| pair[0] != pair[1]) {
         violations.push(format!("entries hold different configurations: {stamps:?}"));
     }
-    let ready = |index: usize| {
+    let is_current = |index: usize| {
         fleet
             .entry(index)
             .is_none_or(|core| core.config().is_current())
     };
-    if !(0..entries).all(ready) {
-        violations.push("an entry still does not hold the configuration in force".to_owned());
+    if !(0..entries).all(is_current) {
+        violations.push("an entry does not hold the configuration in force".to_owned());
     }
 }
 
-/// When all is over nothing is left open.
-fn check_quiet(fleet: &VirtualFleet, entries: usize, agents: usize, violations: &mut Vec<String>) {
+/// Checks that no jobs, dispatches or tasks remain.
+fn check_idle(fleet: &VirtualFleet, entries: usize, agents: usize, violations: &mut Vec<String>) {
     for core in (0..entries).filter_map(|index| fleet.entry(index)) {
         let open = core.targets().outstanding();
         if open > 0 || core.jobs_held() > 0 || core.waiting_tasks() > 0 {
--- a/lib/testutils/src/matrix.rs
+++ b/lib/testutils/src/matrix.rs
@@ -1,4 +1,4 @@
-//! The fault matrix: one scenario that passes every step, struck by faults at steps.
+//! The fault matrix: runs one scenario that covers every step and injects faults at given steps.
 
 use std::time::Duration;
 
@@ -8,31 +8,31 @@
 
 use crate::faults::{Fault, PlannedFault, Step};
 use crate::invariants;
-use crate::virtual_fleet::{VirtualFleet, VirtualPlan, Where};
+use crate::virtual_fleet::{FaultSite, VirtualFleet, VirtualPlan};
 
-/// Entries of the scenario.
+/// Number of entries in the scenario.
 const ENTRIES: usize = 2;
-/// Agents of the scenario.
+/// Number of agents in the scenario.
 const AGENTS: usize = 3;
-/// When the fleet has found itself; faults strike from here on.
+/// When all processes have connected; faults are injected from here on.
 pub const SETTLED: Duration = Duration::from_secs(2);
-/// Quiet time at the end: longer than every deadline, drain and outage.
-const QUIET: Duration = Duration::from_secs(90);
+/// Idle time at the end: longer than every deadline, drain and outage.
+const IDLE_TIME: Duration = Duration::from_secs(90);
 
-/// What one cell of the matrix came to.
+/// Result of one cell of the matrix.
 #[derive(Debug, Clone)]
 pub struct Cell {
-    /// Whether all its faults struck.
+    /// Whether all its faults were injected.
     pub struck: bool,
-    /// Promises that were broken.
+    /// Violated invariants.
     pub violations: Vec<String>,
 }
 
-/// Runs the scenario with faults at steps.
-pub fn run_cell(strikes: &[FaultAtStep], seed: u64, placement: PlacementMode) -> Cell {
-    let faults: Vec<PlannedFault> = strikes
+/// Runs the scenario with these faults.
+pub fn run_cell(planned: &[FaultAtStep], seed: u64, placement: PlacementMode) -> Cell {
+    let faults: Vec<PlannedFault> = planned
         .iter()
-        .map(|s| PlannedFault::at(s.step, SETTLED, s.fault))
+        .map(|p| PlannedFault::at(p.step, SETTLED, p.fault))
         .collect();
     let expected = faults.len();
     let mut fleet = VirtualFleet::new(VirtualPlan {
@@ -42,14 +42,14 @@
         seed,
         faults,
     });
-    play(&mut fleet);
+    run_workload(&mut fleet);
     let mut violations = invariants::violations(&fleet, ENTRIES, AGENTS);
     violations.extend(last_request_failed(&fleet));
-    if strikes.iter().all(|s| is_gentle(s.fault)) {
+    if planned.iter().all(|p| is_recoverable(p.fault)) {
         violations.extend(failed_requests(&fleet));
     }
     Cell {
-        struck: fleet.struck == expected,
+        struck: fleet.injected == expected,
         violations,
     }
 }
@@ -63,9 +63,9 @@
     pub fault: Fault,
 }
 
-/// A job, a permitted request with two resubmissions, a configuration race, a lost session, a
-/// leaving target and a stopping entry; and a last job when all is well again.
-fn play(fleet: &mut VirtualFleet) {
+/// Submits jobs and a permitted request with two resubmissions; meanwhile two configurations race,
+/// a session breaks, a target leaves and an entry stops. Ends with a job after all faults are over.
+fn run_workload(fleet: &mut VirtualFleet) {
     let ms = Duration::from_millis;
     fleet.ask_permit(0);
     fleet.run_for(SETTLED + ms(1));
@@ -93,10 +93,10 @@
     fleet.drain_entry(1);
     fleet.run_for(Duration::from_secs(12));
     fleet.submit("job-last", 0, 5, ms(50));
-    fleet.run_for(QUIET);
+    fleet.run_for(IDLE_TIME);
 }
 
-/// Two operators race to replace version 1.
+/// Two operators race to replace the same version.
 fn race_config(fleet: &mut VirtualFleet) {
     let head = fleet.entry(0).or(fleet.entry(1));
     let head = head.map_or(ConfigStamp::default(), |core| core.config().stamp());
@@ -105,21 +105,21 @@
 }
 
 fn break_session(fleet: &mut VirtualFleet) {
-    fleet.inject(Fault::SessionBreaks, Where { entry: 0, agent: 0 });
+    fleet.inject(Fault::SessionBreaks, FaultSite { entry: 0, agent: 0 });
 }
 
-/// When all faults are over, work goes through again.
+/// Describes the answer to the last job if it did not complete after all faults were over.
 fn last_request_failed(fleet: &VirtualFleet) -> Option<String> {
     let last = fleet.requests.values().next_back()?;
-    let answer = last.answers.first().map(|a| &a.answer);
+    let answer = last.answers.first().map(|timed| &timed.answer);
     match answer {
         Some(Answer::Complete { .. }) => None,
         other => Some(format!("the last job was not completed: {other:?}")),
     }
 }
 
-/// Whether a fault ends no process, stops no lease and so should fail no job.
-fn is_gentle(fault: Fault) -> bool {
+/// Whether a fault ends no process and lapses no lease, and so should fail no job.
+fn is_recoverable(fault: Fault) -> bool {
     matches!(
         fault,
         Fault::TargetRefuses
@@ -140,7 +140,7 @@
     )
 }
 
-/// Jobs that failed although nothing was lost: the drains must not have cut them off.
+/// Describes jobs that failed although no process was lost: drains must not fail them.
 fn failed_requests(fleet: &VirtualFleet) -> Vec<String> {
     let answers = fleet
         .requests
@@ -148,6 +148,8 @@
         .filter_map(|r| r.answers.first().map(|a| (&r.name, &a.answer)));
     answers
         .filter(|(_, answer)| matches!(answer, Answer::Failed { .. }))
-        .map(|(name, answer)| format!("{name} failed under a gentle fault: {answer:?}"))
+        .map(|(name, answer)| {
+            format!("{name} failed although the fault ended no process: {answer:?}")
+        })
         .collect()
 }
--- a/lib/testutils/src/virtual_fleet.rs
+++ b/lib/testutils/src/virtual_fleet.rs
@@ -1,7 +1,7 @@
-//! A few real cores on a virtual clock, with faults between and around them.
+//! Runs production entry and agent cores on a virtual clock and injects faults.
 //!
-//! A driver for focused failure tests, not a cluster simulator: links have one latency, targets
-//! one speed, and everything happens in the order of a seeded queue.
+//! A driver for focused failure tests: all links have the same latency, all targets the same speed,
+//! and a seeded queue orders all events.
 
 mod fault_injection;
 mod links;
@@ -32,68 +32,68 @@
 
 use crate::faults::{Fault, PlannedFault, Step};
 
-/// One way over a link.
+/// One-way latency of a link.
 const LATENCY: Duration = Duration::from_micros(500);
-/// Time between ticks; rarer than the daemons', to save the tests' time.
+/// Time between ticks; longer than the daemons', to shorten the tests.
 const TICK: Duration = Duration::from_millis(20);
-/// Pause before a lost session is tried again.
+/// Mean delay before a lost session is dialled again.
 const REDIAL: Duration = Duration::from_millis(200);
-/// How long a process is gone before its next life begins.
+/// Time from the end of a process to its restart.
 const RESTART: Duration = Duration::from_millis(800);
-/// How long cuts, pauses and outages last: longer than a lease and than a silent session.
+/// Length of partitions, pauses and outages: longer than a lease and than the session timeout.
 pub const FAULT_LENGTH: Duration = Duration::from_secs(5);
-/// How late a late frame is.
+/// Extra latency of a delayed frame.
 const LATE_BY: Duration = Duration::from_millis(700);
-/// How far a clock steps.
+/// Size of a clock step.
 const CLOCK_STEP: Duration = Duration::from_secs(3_600);
-/// The few seconds after which a leaving target gets no new work.
+/// How long a leaving target may still get new work.
 const LEAVING_GRACE: Duration = Duration::from_secs(3);
-/// How often entries write the head to the log again.
+/// Interval at which entries write a snapshot of the configuration to the log.
 const SNAPSHOT_EVERY: Duration = Duration::from_secs(1);
-/// How long the log keeps records when they expire.
+/// Retention of the log.
 const LOG_RETENTION: Duration = Duration::from_millis(2_500);
-/// How far the VM list lags.
+/// Delay until a stopped target leaves the VM list.
 const LIST_LAG: Duration = Duration::from_secs(2);
-/// Key of the one team.
+/// API key of the only team.
 pub const KEY: &str = "team-key";
 /// Slots of each target.
 const SLOTS: u32 = 4;
 
-/// What is to happen.
+/// A scheduled event.
 #[derive(Debug, Clone)]
-enum Happening {
-    TickEntry(Place),
-    TickAgent(Place),
-    ToEntry(Place, Box<EntryEvent>),
-    ToAgent(Place, Box<AgentEvent>),
+enum Event {
+    TickEntry(ProcessId),
+    TickAgent(ProcessId),
+    ToEntry(ProcessId, Box<EntryEvent>),
+    ToAgent(ProcessId, Box<AgentEvent>),
     Dial { entry: usize, agent: usize },
     DialPeer { from: usize, to: usize },
-    RunOver { agent: usize, run: RunKey },
-    LeaseOver { agent: usize, run: RunKey },
+    RunEnds { agent: usize, run: RunKey },
+    LeaseEnds { agent: usize, run: RunKey },
     StartEntry(usize),
     StartAgent(usize),
-    EndFault(Fault, Where),
+    EndFault(Fault, FaultSite),
     Submit(usize),
     Unlist(usize),
 }
 
-/// A life of a process.
+/// An incarnation of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Place {
+struct ProcessId {
     index: usize,
-    life: u64,
+    incarnation: u64,
 }
 
-/// A run on a target: the agent's life and its number.
+/// A run on a target: the agent's incarnation and the run's number there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct RunKey {
-    life: u64,
+    incarnation: u64,
     run: RunId,
 }
 
-/// Whom a fault strikes.
+/// The processes that a fault affects.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Where {
+pub struct FaultSite {
     /// The entry.
     pub entry: usize,
     /// The agent.
@@ -102,9 +102,9 @@
 
 struct Process<C> {
     core: Option<C>,
-    life: u64,
-    /// Added to the common clock.
-    clock: Duration,
+    incarnation: u64,
+    /// Offset of its clock from the common clock.
+    clock_offset: Duration,
     paused_until: Duration,
 }
 
@@ -112,8 +112,8 @@
     fn new() -> Self {
         Self {
             core: None,
-            life: 0,
-            clock: Duration::ZERO,
+            incarnation: 0,
+            clock_offset: Duration::ZERO,
             paused_until: Duration::ZERO,
         }
     }
@@ -141,17 +141,19 @@
     opened_before: bool,
     cut_to_agent: bool,
     cut_to_entry: bool,
-    lose: u32,
-    double: u32,
-    late: u32,
-    reorder: u32,
+    /// Numbers of coming frames that a fault affects.
+    frames_to_lose: u32,
+    frames_to_duplicate: u32,
+    frames_to_delay: u32,
+    frames_to_reorder: u32,
+    /// Latest arrival at the entry and at the agent.
     last_arrival: [Duration; 2],
 }
 
-/// A request and all that was heard of it.
+/// A request and its answers.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// Names its tasks' payloads; resubmissions share it.
+    /// Prefix of its tasks' payloads; resubmissions share it.
     pub name: String,
     /// Number of its tasks.
     pub tasks: usize,
@@ -159,64 +161,64 @@
     pub run: Duration,
     /// Deadline.
     pub deadline: Duration,
-    /// The entry it goes to.
+    /// The entry that it is sent to.
     pub entry: usize,
-    /// Its permit, for one that must not be repeated.
+    /// Its permit; none if the request may be repeated.
     pub permit: Option<String>,
     /// When it was submitted.
     pub submitted: Duration,
-    /// Answers and when they came.
+    /// Answers received.
     pub answers: Vec<TimedAnswer>,
-    /// Life of the entry that it went to.
-    pub entry_life: u64,
+    /// Incarnation of the entry that received it.
+    pub entry_incarnation: u64,
 }
 
-/// An answer and when it came.
+/// An answer and the time of its arrival.
 #[derive(Debug, Clone)]
 pub struct TimedAnswer {
-    /// When.
+    /// Time of arrival.
     pub at: Duration,
-    /// What.
+    /// The answer.
     pub answer: Answer,
 }
 
 /// A start of a task on a target.
 #[derive(Debug, Clone)]
 pub struct StartedTask {
-    /// When.
+    /// Time of the start.
     pub at: Duration,
-    /// Where.
+    /// Agent of the target.
     pub agent: usize,
     /// Job of the task.
     pub job: JobId,
-    /// Position.
+    /// Index of the task in the job.
     pub task: u16,
     /// Payload, which names the request.
     pub payload: Arc<str>,
 }
 
-/// What a fleet is made of.
+/// Size, placement, seed and faults of a fleet.
 #[derive(Debug, Clone)]
 pub struct VirtualPlan {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Agents.
+    /// Number of agents.
     pub agents: usize,
-    /// Placement.
+    /// Placement mode.
     pub placement: PlacementMode,
-    /// Seed.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Faults and the steps at which they strike.
+    /// Faults and the steps at which they are injected.
     pub faults: Vec<PlannedFault>,
 }
 
-/// Cores, targets, links and the clock.
+/// A simulated fleet: cores, targets, links, stores and the clock.
 pub struct VirtualFleet {
     plan: VirtualPlan,
     now: Duration,
     rng: ChaCha8Rng,
-    queue: BTreeMap<QueueKey, Happening>,
-    order: u64,
+    queue: BTreeMap<QueueKey, Event>,
+    sequence: u64,
     entries: Vec<Process<EntryCore>>,
     agents: Vec<Process<AgentCore>>,
     targets: Vec<Target>,
@@ -225,7 +227,7 @@
     peer_by_session: HashMap<SessionId, LinkKey>,
     agent_by_session: HashMap<SessionId, LinkKey>,
     next_session: SessionId,
-    /// The log.
+    /// The configuration log.
     pub log: MemoryLog,
     /// The VM list.
     pub vms: MemoryVmList,
@@ -234,27 +236,28 @@
     log_delay: Duration,
     /// Requests by number.
     pub requests: BTreeMap<RequestId, Request>,
-    /// Starts in order.
+    /// Task starts in order.
     pub starts: Vec<StartedTask>,
-    /// Permits that were made.
+    /// Permits that entries issued.
     pub permits: Vec<String>,
-    /// Steps that were reached.
+    /// Steps reached.
     pub reached: HashSet<Step>,
-    /// Faults that struck.
-    pub struck: usize,
-    /// Highest version seen at each life of an entry; false if one went back.
-    pub versions_rose: bool,
-    versions: HashMap<Place, u64>,
-    drained_agents: HashMap<usize, Duration>,
-    /// Starts on a target after it was told to leave.
+    /// Number of planned faults that were injected.
+    pub injected: usize,
+    /// Whether no incarnation of an entry went back to an older configuration.
+    pub versions_monotonic: bool,
+    /// Configuration version of each incarnation of an entry.
+    versions: HashMap<ProcessId, u64>,
+    leaving_since: HashMap<usize, Duration>,
+    /// Number of starts on leaving targets after the grace period.
     pub starts_while_leaving: usize,
-    drained: HashSet<Place>,
+    drained_entries: HashSet<ProcessId>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     at: Duration,
-    order: u64,
+    sequence: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -265,13 +268,13 @@
 }
 
 impl VirtualFleet {
-    /// A fleet with one configuration in the log, nothing started yet.
+    /// A fleet with one configuration in the log; all processes start at time zero.
     pub fn new(plan: VirtualPlan) -> Self {
         let mut fleet = Self {
             now: Duration::ZERO,
             rng: ChaCha8Rng::seed_from_u64(plan.seed),
             queue: BTreeMap::new(),
-            order: 0,
+            sequence: 0,
             entries: (0..plan.entries).map(|_| Process::new()).collect(),
             agents: (0..plan.agents).map(|_| Process::new()).collect(),
             targets: (0..plan.agents).map(|_| Target::default()).collect(),
@@ -289,61 +292,61 @@
             starts: Vec::new(),
             permits: Vec::new(),
             reached: HashSet::new(),
-            struck: 0,
-            versions_rose: true,
+            injected: 0,
+            versions_monotonic: true,
             versions: HashMap::new(),
-            drained_agents: HashMap::new(),
+            leaving_since: HashMap::new(),
             starts_while_leaving: 0,
-            drained: HashSet::new(),
+            drained_entries: HashSet::new(),
             plan,
         };
         fleet.change_config(1, ConfigStamp::default(), 1_000);
         for index in 0..fleet.plan.entries {
-            fleet.at(Duration::ZERO, Happening::StartEntry(index));
+            fleet.schedule_at(Duration::ZERO, Event::StartEntry(index));
         }
         for index in 0..fleet.plan.agents {
-            fleet.at(Duration::ZERO, Happening::StartAgent(index));
+            fleet.schedule_at(Duration::ZERO, Event::StartAgent(index));
         }
         fleet
     }
 
-    /// The common clock.
+    /// Time on the common clock.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// An entry's core, if it lives.
+    /// An entry's core, if it runs.
     pub fn entry(&self, index: usize) -> Option<&EntryCore> {
         self.entries[index].core.as_ref()
     }
 
-    /// An agent's core, if it lives.
+    /// An agent's core, if it runs.
     pub fn agent(&self, index: usize) -> Option<&AgentCore> {
         self.agents[index].core.as_ref()
     }
 
-    /// Whether the life of an entry that a request went to is still that entry's.
-    pub fn entry_lives_on(&self, request: &Request) -> bool {
+    /// Whether the entry incarnation that received a request still runs.
+    pub fn entry_still_runs(&self, request: &Request) -> bool {
         let entry = &self.entries[request.entry];
-        entry.life == request.entry_life && entry.core.is_some()
+        entry.incarnation == request.entry_incarnation && entry.core.is_some()
     }
 
-    /// Sets whether a target fails everything.
+    /// Sets whether a target fails all tasks.
     pub fn set_fail_all(&mut self, agent: usize, fail_all: bool) {
         self.targets[agent].fail_all = fail_all;
     }
 
-    fn at(&mut self, at: Duration, happening: Happening) {
-        self.order += 1;
-        let order = self.order;
-        self.queue.insert(QueueKey { at, order }, happening);
+    fn schedule_at(&mut self, at: Duration, event: Event) {
+        self.sequence += 1;
+        let sequence = self.sequence;
+        self.queue.insert(QueueKey { at, sequence }, event);
     }
 
-    fn after(&mut self, wait: Duration, happening: Happening) {
-        self.at(self.now + wait, happening);
+    fn schedule_after(&mut self, delay: Duration, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    /// Appends a change as an operator does.
+    /// Appends a configuration change to the log, as an operator does.
     pub fn change_config(&mut self, nonce: u64, replaces: ConfigStamp, quota: u32) {
         let team = Team {
             key_sha256: hash_key(KEY),
@@ -353,8 +356,10 @@
             teams: [(Arc::from("team"), team)].into(),
             ..Document::default()
         };
-        let text = document.canonical().expect("a document can be written");
-        // The fate of an append is learned by reading, whatever is replied.
+        let text = document
+            .canonical()
+            .expect("the document can be serialized");
+        // Readers find out whether the append took effect; its reply does not tell.
         let _ = self.log.append_now(LogRecord::Change {
             nonce,
             replaces,
@@ -362,15 +367,15 @@
             author: "test".to_owned(),
         });
         self.note_log_end();
-        self.step(Step::ConfigAppended, Where::default());
+        self.reach_step(Step::ConfigAppended, FaultSite::default());
     }
 
-    /// Submits a request at once. Returns its number.
+    /// Submits a repeatable request now. Returns its number.
     pub fn submit(&mut self, name: &str, entry: usize, tasks: usize, run: Duration) -> RequestId {
         self.submit_with(name, entry, tasks, run, None)
     }
 
-    /// Submits a request that must not be repeated, under a permit.
+    /// Submits a request, under a permit if it must not be repeated. Returns its number.
     pub fn submit_with(
         &mut self,
         name: &str,
@@ -389,15 +394,15 @@
             permit,
             submitted: self.now,
             answers: Vec::new(),
-            entry_life: self.entries[entry].life,
+            entry_incarnation: self.entries[entry].incarnation,
         };
         self.requests.insert(number, request);
-        self.step(Step::Submitted, Where { entry, agent: 0 });
-        self.after(LATENCY, Happening::Submit(number as usize));
+        self.reach_step(Step::Submitted, FaultSite { entry, agent: 0 });
+        self.schedule_after(LATENCY, Event::Submit(number as usize));
         number
     }
 
-    /// Asks an entry for a permit; it is found in [`Self::permits`] afterwards.
+    /// Requests a permit from an entry, which is added to [`Self::permits`].
     pub fn ask_permit(&mut self, entry: usize) {
         let event = EntryEvent::MintPermits(PermitRequest {
             request: u64::MAX,
@@ -407,103 +412,103 @@
         self.tell_entry(entry, event);
     }
 
-    /// Cancels by going away.
-    pub fn caller_goes(&mut self, request: RequestId) {
+    /// Cancels a request by closing the caller's connection.
+    pub fn disconnect_caller(&mut self, request: RequestId) {
         let entry = self.requests[&request].entry;
         self.tell_entry(entry, EntryEvent::CallerGone(request));
     }
 
-    /// Tells an entry to stop in order.
+    /// Drains an entry.
     pub fn drain_entry(&mut self, entry: usize) {
-        self.step(Step::DrainBegun, Where { entry, agent: 0 });
+        self.reach_step(Step::DrainBegun, FaultSite { entry, agent: 0 });
         self.tell_entry(entry, EntryEvent::Drain);
     }
 
-    /// Tells an agent to leave in order. The VM list shows it at once.
+    /// Drains an agent; the VM list shows its target as leaving at once.
     pub fn drain_agent(&mut self, agent: usize) {
         self.vms.put(target_vm(agent, VmState::Leaving));
-        self.drained_agents.insert(agent, self.now);
-        self.step(Step::DrainBegun, Where { entry: 0, agent });
-        let place = self.agent_place(agent);
-        self.after(
+        self.leaving_since.insert(agent, self.now);
+        self.reach_step(Step::DrainBegun, FaultSite { entry: 0, agent });
+        let process_id = self.agent_process_id(agent);
+        self.schedule_after(
             Duration::ZERO,
-            Happening::ToAgent(place, Box::new(AgentEvent::Drain)),
+            Event::ToAgent(process_id, Box::new(AgentEvent::Drain)),
         );
     }
 
-    /// Whether a process has drained to its end.
+    /// Whether the current incarnation of an entry has finished draining.
     pub fn has_drained_entry(&self, entry: usize) -> bool {
-        self.drained.contains(&self.entry_place(entry))
+        self.drained_entries.contains(&self.entry_process_id(entry))
     }
 
     fn tell_entry(&mut self, entry: usize, event: EntryEvent) {
-        let place = self.entry_place(entry);
-        self.after(Duration::ZERO, Happening::ToEntry(place, Box::new(event)));
+        let process_id = self.entry_process_id(entry);
+        self.schedule_after(Duration::ZERO, Event::ToEntry(process_id, Box::new(event)));
     }
 
-    fn entry_place(&self, index: usize) -> Place {
-        let life = self.entries[index].life;
-        Place { index, life }
+    fn entry_process_id(&self, index: usize) -> ProcessId {
+        let incarnation = self.entries[index].incarnation;
+        ProcessId { index, incarnation }
     }
 
-    fn agent_place(&self, index: usize) -> Place {
-        let life = self.agents[index].life;
-        Place { index, life }
+    fn agent_process_id(&self, index: usize) -> ProcessId {
+        let incarnation = self.agents[index].incarnation;
+        ProcessId { index, incarnation }
     }
 
-    /// Lets time pass.
+    /// Processes all events of the next `length` of time.
     pub fn run_for(&mut self, length: Duration) {
         let end = self.now + length;
         while let Some((key, _)) = self.queue.first_key_value() {
             if key.at > end {
                 break;
             }
-            let Some((key, happening)) = self.queue.pop_first() else {
+            let Some((key, event)) = self.queue.pop_first() else {
                 break;
             };
             self.now = self.now.max(key.at);
-            self.happen(happening);
+            self.handle_event(event);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::StartEntry(index) => self.start_entry(index),
-            Happening::StartAgent(index) => self.start_agent(index),
-            Happening::TickEntry(place) => {
-                if self.entry_place(place.index) == place {
-                    self.after(TICK, Happening::TickEntry(place));
-                    self.entry_event(place, EntryEvent::Tick);
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::StartEntry(index) => self.start_entry(index),
+            Event::StartAgent(index) => self.start_agent(index),
+            Event::TickEntry(process_id) => {
+                if self.entry_process_id(process_id.index) == process_id {
+                    self.schedule_after(TICK, Event::TickEntry(process_id));
+                    self.entry_event(process_id, EntryEvent::Tick);
                 }
             }
-            Happening::TickAgent(place) => {
-                if self.agent_place(place.index) == place {
-                    self.after(TICK, Happening::TickAgent(place));
-                    self.agent_event(place, AgentEvent::Tick);
+            Event::TickAgent(process_id) => {
+                if self.agent_process_id(process_id.index) == process_id {
+                    self.schedule_after(TICK, Event::TickAgent(process_id));
+                    self.agent_event(process_id, AgentEvent::Tick);
                 }
             }
-            Happening::ToEntry(place, event) => self.entry_event(place, *event),
-            Happening::ToAgent(place, event) => self.agent_event(place, *event),
-            Happening::Dial { entry, agent } => self.dial(entry, agent),
-            Happening::DialPeer { from, to } => self.dial_peer(from, to),
-            Happening::RunOver { agent, run } => self.run_over(agent, run),
-            Happening::LeaseOver { agent, run } => self.lease_over(agent, run),
-            Happening::EndFault(fault, at) => self.end_fault(fault, at),
-            Happening::Unlist(agent) => {
+            Event::ToEntry(process_id, event) => self.entry_event(process_id, *event),
+            Event::ToAgent(process_id, event) => self.agent_event(process_id, *event),
+            Event::Dial { entry, agent } => self.dial(entry, agent),
+            Event::DialPeer { from, to } => self.dial_peer(from, to),
+            Event::RunEnds { agent, run } => self.end_run_if_due(agent, run),
+            Event::LeaseEnds { agent, run } => self.lapse_lease_if_due(agent, run),
+            Event::EndFault(fault, site) => self.end_fault(fault, site),
+            Event::Unlist(agent) => {
                 if self.agents[agent].core.is_none() {
                     self.vms.remove(&format!("target-{agent}"));
                 }
             }
-            Happening::Submit(number) => self.deliver_submission(number as RequestId),
+            Event::Submit(number) => self.deliver_submission(number as RequestId),
         }
     }
 
     fn start_entry(&mut self, index: usize) {
-        let life = self.entries[index].life + 1;
+        let incarnation = self.entries[index].incarnation + 1;
         let options = EntryOptions {
             name: format!("entry-{index}").into(),
-            incarnation: ((index as u64 + 1) << 32) | life,
+            incarnation: ((index as u64 + 1) << 32) | incarnation,
             agent_address: format!("entry-{index}"),
             secret: FleetSecret::new("a virtual fleet's secret"),
             placement: Some(self.plan.placement),
@@ -514,26 +519,26 @@
         };
         let process = &mut self.entries[index];
         process.core = Some(EntryCore::new(options));
-        process.life = life;
-        process.clock = Duration::ZERO;
+        process.incarnation = incarnation;
+        process.clock_offset = Duration::ZERO;
         process.paused_until = Duration::ZERO;
-        let place = Place { index, life };
-        self.after(Duration::ZERO, Happening::TickEntry(place));
+        let process_id = ProcessId { index, incarnation };
+        self.schedule_after(Duration::ZERO, Event::TickEntry(process_id));
         for agent in 0..self.plan.agents {
             let entry = index;
-            self.after(REDIAL, Happening::Dial { entry, agent });
+            self.schedule_after(REDIAL, Event::Dial { entry, agent });
         }
         for other in (0..self.plan.entries).filter(|o| *o != index) {
             let (from, to) = (index.min(other), index.max(other));
-            self.after(REDIAL, Happening::DialPeer { from, to });
+            self.schedule_after(REDIAL, Event::DialPeer { from, to });
         }
     }
 
     fn start_agent(&mut self, index: usize) {
-        let life = self.agents[index].life + 1;
+        let incarnation = self.agents[index].incarnation + 1;
         let options = AgentOptions {
             name: format!("target-{index}").into(),
-            incarnation: ((index as u64 + 1_000) << 32) | life,
+            incarnation: ((index as u64 + 1_000) << 32) | incarnation,
             hall: "hall".into(),
             capacity: Capacity {
                 slots: SLOTS,
@@ -545,70 +550,70 @@
         };
         let process = &mut self.agents[index];
         process.core = Some(AgentCore::new(options));
-        process.life = life;
-        process.clock = Duration::ZERO;
+        process.incarnation = incarnation;
+        process.clock_offset = Duration::ZERO;
         process.paused_until = Duration::ZERO;
         self.targets[index].down = false;
-        self.drained_agents.remove(&index);
-        let place = Place { index, life };
+        self.leaving_since.remove(&index);
+        let process_id = ProcessId { index, incarnation };
         self.vms.put(target_vm(index, VmState::Live));
-        self.after(Duration::ZERO, Happening::TickAgent(place));
+        self.schedule_after(Duration::ZERO, Event::TickAgent(process_id));
         for entry in 0..self.plan.entries {
             let agent = index;
-            self.after(REDIAL, Happening::Dial { entry, agent });
+            self.schedule_after(REDIAL, Event::Dial { entry, agent });
         }
     }
 
-    fn entry_event(&mut self, place: Place, event: EntryEvent) {
+    fn entry_event(&mut self, process_id: ProcessId, event: EntryEvent) {
         let now = self.now;
-        let process = &mut self.entries[place.index];
-        if process.life != place.life || process.core.is_none() {
+        let process = &mut self.entries[process_id.index];
+        if process.incarnation != process_id.incarnation || process.core.is_none() {
             return;
         }
         if process.paused_until > now {
             let at = process.paused_until;
-            self.at(at, Happening::ToEntry(place, Box::new(event)));
+            self.schedule_at(at, Event::ToEntry(process_id, Box::new(event)));
             return;
         }
         if let EntryEvent::LogRead(Some(batch)) = &event
             && !batch.records.is_empty()
         {
-            let entry = place.index;
-            self.step(Step::ConfigRead, Where { entry, agent: 0 });
+            let entry = process_id.index;
+            self.reach_step(Step::ConfigRead, FaultSite { entry, agent: 0 });
         }
-        // The step may have been the entry's last.
-        let process = &mut self.entries[place.index];
-        let clock = now + process.clock;
+        // A fault injected at the step may have ended the entry.
+        let process = &mut self.entries[process_id.index];
+        let clock = now + process.clock_offset;
         let Some(core) = &mut process.core else {
             return;
         };
         let actions = core.handle(clock, event);
-        self.after_entry(place, actions);
+        self.apply_entry_actions(process_id, actions);
     }
 
-    fn after_entry(&mut self, place: Place, actions: Vec<EntryAction>) {
-        let Some(core) = &self.entries[place.index].core else {
+    fn apply_entry_actions(&mut self, process_id: ProcessId, actions: Vec<EntryAction>) {
+        let Some(core) = &self.entries[process_id.index].core else {
             return;
         };
         let version = core.config().stamp().version;
-        let before = self.versions.insert(place, version).unwrap_or(0);
-        self.versions_rose &= version >= before;
+        let before = self.versions.insert(process_id, version).unwrap_or(0);
+        self.versions_monotonic &= version >= before;
         if version > before {
-            let entry = place.index;
-            self.step(Step::ConfigInForce, Where { entry, agent: 0 });
+            let entry = process_id.index;
+            self.reach_step(Step::ConfigInForce, FaultSite { entry, agent: 0 });
         }
         for action in actions {
-            if self.entry_place(place.index) != place {
+            if self.entry_process_id(process_id.index) != process_id {
                 return;
             }
-            self.entry_action(place, action);
+            self.entry_action(process_id, action);
         }
     }
 
-    fn entry_action(&mut self, place: Place, action: EntryAction) {
-        let entry = place.index;
+    fn entry_action(&mut self, process_id: ProcessId, action: EntryAction) {
+        let entry = process_id.index;
         match action {
-            EntryAction::Reply { request, reply } => self.replied(place, request, reply),
+            EntryAction::Reply { request, reply } => self.replied(process_id, request, reply),
             EntryAction::SendAgent { session, frame } => self.send_to_agent(session, frame),
             EntryAction::CloseAgent(session) => self.close_link(session),
             EntryAction::SendPeer { session, frame } => self.send_to_peer(entry, session, frame),
@@ -616,10 +621,10 @@
             EntryAction::ReadLog(from) => {
                 let batch = self.log.read_now(from).ok();
                 let event = Box::new(EntryEvent::LogRead(batch));
-                self.after(self.log_delay, Happening::ToEntry(place, event));
+                self.schedule_after(self.log_delay, Event::ToEntry(process_id, event));
             }
             EntryAction::AppendLog(record) => {
-                // No answer is expected.
+                // Entries read the log to see whether the append took effect.
                 let _ = self.log.append_now(record);
                 self.note_log_end();
             }
@@ -629,26 +634,26 @@
                     None => self.vms.list_now().ok(),
                 };
                 let event = Box::new(EntryEvent::VmList(list));
-                self.after(LATENCY, Happening::ToEntry(place, event));
+                self.schedule_after(LATENCY, Event::ToEntry(process_id, event));
             }
             EntryAction::Stop => {
-                self.drained.insert(place);
-                self.step(Step::DrainEnded, Where { entry, agent: 0 });
+                self.drained_entries.insert(process_id);
+                self.reach_step(Step::DrainEnded, FaultSite { entry, agent: 0 });
                 self.kill_entry(entry);
             }
             EntryAction::KnowPeer(_) | EntryAction::Log(_) | EntryAction::Measured(_) => {}
         }
     }
 
-    fn replied(&mut self, place: Place, request: RequestId, reply: Reply) {
+    fn replied(&mut self, process_id: ProcessId, request: RequestId, reply: Reply) {
         match reply {
             Reply::Answer { answer, .. } => {
                 let at = self.now;
-                if let Some(r) = self.requests.get_mut(&request) {
-                    r.answers.push(TimedAnswer { at, answer });
+                if let Some(request) = self.requests.get_mut(&request) {
+                    request.answers.push(TimedAnswer { at, answer });
                 }
-                let entry = place.index;
-                self.step(Step::Answered, Where { entry, agent: 0 });
+                let entry = process_id.index;
+                self.reach_step(Step::Answered, FaultSite { entry, agent: 0 });
             }
             Reply::Permits(permits) => self.permits.extend(permits),
             _ => {}
@@ -660,7 +665,7 @@
             return;
         };
         let entry = request.entry;
-        request.entry_life = self.entries[entry].life;
+        request.entry_incarnation = self.entries[entry].incarnation;
         let tasks = (0..request.tasks).map(|task| TaskSpec {
             kind: "work".into(),
             payload: format!("{}/{task}/{}", request.name, request.run.as_millis()).into(),
@@ -677,69 +682,69 @@
             permit: request.permit.clone(),
             trace: None,
         };
-        let place = self.entry_place(entry);
-        self.entry_event(place, EntryEvent::Submit(submission));
-        self.step(Step::Admitted, Where { entry, agent: 0 });
+        let process_id = self.entry_process_id(entry);
+        self.entry_event(process_id, EntryEvent::Submit(submission));
+        self.reach_step(Step::Admitted, FaultSite { entry, agent: 0 });
     }
 
-    fn agent_event(&mut self, place: Place, event: AgentEvent) {
+    fn agent_event(&mut self, process_id: ProcessId, event: AgentEvent) {
         let now = self.now;
-        let process = &mut self.agents[place.index];
-        if process.life != place.life || process.core.is_none() {
+        let process = &mut self.agents[process_id.index];
+        if process.incarnation != process_id.incarnation || process.core.is_none() {
             return;
         }
         if process.paused_until > now {
             let at = process.paused_until;
-            self.at(at, Happening::ToAgent(place, Box::new(event)));
+            self.schedule_at(at, Event::ToAgent(process_id, Box::new(event)));
             return;
         }
-        let clock = now + process.clock;
+        let clock = now + process.clock_offset;
         let Some(core) = &mut process.core else {
             return;
         };
         let actions = core.handle(clock, event);
         for action in actions {
-            if self.agent_place(place.index) != place {
+            if self.agent_process_id(process_id.index) != process_id {
                 return;
             }
-            self.agent_action(place, action);
+            self.agent_action(process_id, action);
         }
     }
 
-    fn agent_action(&mut self, place: Place, action: AgentAction) {
+    fn agent_action(&mut self, process_id: ProcessId, action: AgentAction) {
         match action {
             AgentAction::SendEntry { session, frame } => self.send_to_entry(session, frame),
             AgentAction::CloseEntry(session) => self.close_link(session),
-            AgentAction::Start(start) => self.start_run(place, start),
+            AgentAction::Start(start) => self.start_run(process_id, start),
             AgentAction::Renew(renewal) => {
                 for run in renewal.runs {
                     let key = RunKey {
-                        life: place.life,
+                        incarnation: process_id.incarnation,
                         run,
                     };
                     let until = self.now + renewal.lease;
-                    if let Some(run) = self.targets[place.index].runs.get_mut(&key) {
+                    if let Some(run) = self.targets[process_id.index].runs.get_mut(&key) {
                         run.lease_until = until;
-                        let agent = place.index;
-                        self.at(until, Happening::LeaseOver { agent, run: key });
+                        let agent = process_id.index;
+                        self.schedule_at(until, Event::LeaseEnds { agent, run: key });
                     }
                 }
             }
             AgentAction::StopRun(run) => {
                 let key = RunKey {
-                    life: place.life,
+                    incarnation: process_id.incarnation,
                     run,
                 };
-                if let Some(run) = self.targets[place.index].runs.get_mut(&key) {
+                if let Some(run) = self.targets[process_id.index].runs.get_mut(&key) {
                     run.stopped = true;
                 }
-                self.run_over(place.index, key);
+                self.end_run_if_due(process_id.index, key);
             }
             AgentAction::Stop => {
-                let agent = place.index;
-                self.step(Step::DrainEnded, Where { entry: 0, agent });
+                let agent = process_id.index;
+                self.reach_step(Step::DrainEnded, FaultSite { entry: 0, agent });
                 self.kill_agent(agent);
-                self.after(LIST_LAG, Happening::Unlist(agent));
+                self.schedule_after(LIST_LAG, Event::Unlist(agent));
             }
             AgentAction::KnowEntry(_) | AgentAction::Log(_) => {}
         }
--- a/lib/testutils/src/virtual_fleet/fault_injection.rs
+++ b/lib/testutils/src/virtual_fleet/fault_injection.rs
@@ -1,40 +1,40 @@
-//! Faults of a virtual fleet: when they strike, what they do, how they end.
+//! Injects faults into a simulated fleet and ends them.
 
 use super::*;
 
 impl VirtualFleet {
-    /// A step was reached: strikes with the faults planned for it, once each.
-    pub(super) fn step(&mut self, step: Step, at: Where) {
+    /// Records that a step was reached, and injects each fault planned for it once.
+    pub(super) fn reach_step(&mut self, step: Step, site: FaultSite) {
         self.reached.insert(step);
         for index in 0..self.plan.faults.len() {
             let planned = self.plan.faults[index];
-            if planned.step == step && !planned.struck && self.now >= planned.not_before {
-                self.plan.faults[index].struck = true;
-                self.struck += 1;
-                self.inject(planned.fault, at);
+            if planned.step == step && !planned.injected && self.now >= planned.not_before {
+                self.plan.faults[index].injected = true;
+                self.injected += 1;
+                self.inject(planned.fault, site);
             }
         }
     }
 
-    /// Lets a fault strike now.
-    pub fn inject(&mut self, fault: Fault, at: Where) {
-        let Where { entry, agent } = at;
+    /// Injects a fault now.
+    pub fn inject(&mut self, fault: Fault, site: FaultSite) {
+        let FaultSite { entry, agent } = site;
         let until = self.now + FAULT_LENGTH;
         match fault {
             Fault::EntryDies => {
                 self.kill_entry(entry);
-                self.after(RESTART, Happening::StartEntry(entry));
+                self.schedule_after(RESTART, Event::StartEntry(entry));
             }
             Fault::AgentDies => {
                 self.kill_agent(agent);
-                self.after(RESTART, Happening::StartAgent(agent));
+                self.schedule_after(RESTART, Event::StartAgent(agent));
             }
             Fault::TargetDies => {
                 self.kill_agent(agent);
                 self.targets[agent].runs.clear();
                 self.targets[agent].down = true;
                 self.vms.remove(&format!("target-{agent}"));
-                self.after(FAULT_LENGTH, Happening::StartAgent(agent));
+                self.schedule_after(FAULT_LENGTH, Event::StartAgent(agent));
             }
             Fault::TargetRefuses => self.targets[agent].down = true,
             Fault::CutBothWays => {
@@ -50,14 +50,14 @@
                     self.close_link(session);
                 }
             }
-            Fault::FrameLost => self.link(entry, agent).lose = 1,
-            Fault::FrameDoubled => self.link(entry, agent).double = 2,
-            Fault::FrameLate => self.link(entry, agent).late = 1,
-            Fault::FramesReordered => self.link(entry, agent).reorder = 1,
+            Fault::FrameLost => self.link(entry, agent).frames_to_lose = 1,
+            Fault::FrameDoubled => self.link(entry, agent).frames_to_duplicate = 2,
+            Fault::FrameLate => self.link(entry, agent).frames_to_delay = 1,
+            Fault::FramesReordered => self.link(entry, agent).frames_to_reorder = 1,
             Fault::EntryPauses => self.entries[entry].paused_until = until,
             Fault::AgentPauses => self.agents[agent].paused_until = until,
-            Fault::EntryClockSteps => self.entries[entry].clock += CLOCK_STEP,
-            Fault::AgentClockSteps => self.agents[agent].clock += CLOCK_STEP,
+            Fault::EntryClockSteps => self.entries[entry].clock_offset += CLOCK_STEP,
+            Fault::AgentClockSteps => self.agents[agent].clock_offset += CLOCK_STEP,
             Fault::LogDown => self.log.set_faults(LogFaults {
                 down: true,
                 ..LogFaults::default()
@@ -71,10 +71,10 @@
             Fault::ListStale => self.stale_list = self.vms.list_now().ok(),
             Fault::ListDown => self.vms.set_down(true),
         }
-        self.after(FAULT_LENGTH, Happening::EndFault(fault, at));
+        self.schedule_after(FAULT_LENGTH, Event::EndFault(fault, site));
     }
 
-    /// Drops what is older than the retention.
+    /// Drops records older than the retention.
     pub(super) fn expire_log(&mut self) {
         let kept_since = self.now.saturating_sub(LOG_RETENTION);
         let older = self.log_ends.range(..=kept_since).next_back();
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Notes how far the log reaches now, for its retention.
+    /// Records the current end of the log for its retention.
     pub(super) fn note_log_end(&mut self) {
         self.log_ends.insert(self.now, self.log.end());
     }
 
-    pub(super) fn end_fault(&mut self, fault: Fault, at: Where) {
-        let Where { entry, agent } = at;
+    pub(super) fn end_fault(&mut self, fault: Fault, site: FaultSite) {
+        let FaultSite { entry, agent } = site;
         match fault {
             Fault::CutBothWays | Fault::CutToAgent | Fault::CutToEntry => {
                 let link = self.link(entry, agent);
--- a/lib/testutils/src/virtual_fleet/links.rs
+++ b/lib/testutils/src/virtual_fleet/links.rs
@@ -1,4 +1,4 @@
-//! Links of a virtual fleet: sessions, frames on their way, and what faults do to them.
+//! Simulates sessions and the delivery of frames, with the faults of links.
 
 use super::*;
 
@@ -9,7 +9,7 @@
     }
 
     pub(super) fn dial(&mut self, entry: usize, agent: usize) {
-        let both_live = self.entries[entry].core.is_some() && self.agents[agent].core.is_some();
+        let both_run = self.entries[entry].core.is_some() && self.agents[agent].core.is_some();
         let now = self.now;
         let paused =
             self.entries[entry].paused_until > now || self.agents[agent].paused_until > now;
@@ -18,10 +18,10 @@
             return;
         }
         if paused || link.cut_to_agent || link.cut_to_entry {
-            self.after(REDIAL, Happening::Dial { entry, agent });
+            self.schedule_after(REDIAL, Event::Dial { entry, agent });
             return;
         }
-        if !both_live {
+        if !both_run {
             return;
         }
         let session = self.next_session;
@@ -33,10 +33,10 @@
         let other = agent;
         self.agent_by_session
             .insert(session, LinkKey { entry, other });
-        let place = self.agent_place(agent);
-        self.agent_event(place, AgentEvent::EntryConnected(session));
+        let process_id = self.agent_process_id(agent);
+        self.agent_event(process_id, AgentEvent::EntryConnected(session));
         if opened_before {
-            self.step(Step::SessionResumed, Where { entry, agent });
+            self.reach_step(Step::SessionResumed, FaultSite { entry, agent });
         }
     }
 
@@ -49,19 +49,20 @@
         if link.session == Some(session) {
             link.session = None;
         }
-        let entry_place = self.entry_place(entry);
-        let agent_place = self.agent_place(agent);
-        let closed = Box::new(EntryEvent::AgentClosed(session));
-        self.after(LATENCY, Happening::ToEntry(entry_place, closed));
-        let closed = Box::new(AgentEvent::EntryClosed(session));
-        self.after(LATENCY, Happening::ToAgent(agent_place, closed));
+        let entry_process_id = self.entry_process_id(entry);
+        let agent_process_id = self.agent_process_id(agent);
+        let event = Box::new(EntryEvent::AgentClosed(session));
+        self.schedule_after(LATENCY, Event::ToEntry(entry_process_id, event));
+        let event = Box::new(AgentEvent::EntryClosed(session));
+        self.schedule_after(LATENCY, Event::ToAgent(agent_process_id, event));
         let pause = REDIAL.mul_f64(self.rng.random_range(0.5..1.5));
-        self.after(pause, Happening::Dial { entry, agent });
-        self.step(Step::SessionLost, Where { entry, agent });
+        self.schedule_after(pause, Event::Dial { entry, agent });
+        self.reach_step(Step::SessionLost, FaultSite { entry, agent });
     }
 
-    /// When a frame arrives: in order, unless a fault says otherwise. None if it is lost.
-    pub(super) fn arrival(&mut self, key: LinkKey, to_agent: bool) -> Vec<Duration> {
+    /// Arrival times of a frame: none if it is lost, two if it is duplicated. Frames arrive in
+    /// order unless a fault delays or reorders them.
+    pub(super) fn arrivals(&mut self, key: LinkKey, to_agent: bool) -> Vec<Duration> {
         let now = self.now;
         let link = self.links.entry(key).or_default();
         let cut = if to_agent {
@@ -72,24 +73,24 @@
         if cut {
             return Vec::new();
         }
-        if link.lose > 0 {
-            link.lose -= 1;
+        if link.frames_to_lose > 0 {
+            link.frames_to_lose -= 1;
             return Vec::new();
         }
-        let side = usize::from(to_agent);
-        let mut at = (now + LATENCY).max(link.last_arrival[side]);
-        if link.late > 0 {
-            link.late -= 1;
+        let direction = usize::from(to_agent);
+        let mut at = (now + LATENCY).max(link.last_arrival[direction]);
+        if link.frames_to_delay > 0 {
+            link.frames_to_delay -= 1;
             return vec![at + LATE_BY];
         }
-        if link.reorder > 0 {
-            link.reorder -= 1;
+        if link.frames_to_reorder > 0 {
+            link.frames_to_reorder -= 1;
             return vec![at + LATENCY * 4];
         }
-        link.last_arrival[side] = at;
+        link.last_arrival[direction] = at;
         let mut arrivals = vec![at];
-        if link.double > 0 {
-            link.double -= 1;
+        if link.frames_to_duplicate > 0 {
+            link.frames_to_duplicate -= 1;
             at += LATENCY;
             arrivals.push(at);
         }
@@ -101,23 +102,23 @@
             return;
         };
         let (entry, agent) = (key.entry, key.other);
-        let at = Where { entry, agent };
+        let site = FaultSite { entry, agent };
         for message in &frame.messages {
             match message {
-                EntryMessage::Dispatch(_) => self.step(Step::Dispatched, at),
-                EntryMessage::Claim(_) => self.step(Step::PermitClaimed, at),
+                EntryMessage::Dispatch(_) => self.reach_step(Step::Dispatched, site),
+                EntryMessage::Claim(_) => self.reach_step(Step::PermitClaimed, site),
                 _ => {}
             }
         }
-        let place = self.agent_place(agent);
-        for arrival in self.arrival(key, true) {
+        let process_id = self.agent_process_id(agent);
+        for arrival in self.arrivals(key, true) {
             let frame = frame.clone();
             let event = AgentEvent::EntryFrame { session, frame };
-            self.at(arrival, Happening::ToAgent(place, Box::new(event)));
+            self.schedule_at(arrival, Event::ToAgent(process_id, Box::new(event)));
         }
-        let dispatched = |m: &EntryMessage| matches!(m, EntryMessage::Dispatch(_));
-        if frame.messages.iter().any(dispatched) {
-            self.step(Step::Received, at);
+        let is_dispatch = |m: &EntryMessage| matches!(m, EntryMessage::Dispatch(_));
+        if frame.messages.iter().any(is_dispatch) {
+            self.reach_step(Step::Received, site);
         }
     }
 
@@ -126,12 +127,12 @@
             return;
         };
         let (entry, agent) = (key.entry, key.other);
-        let finished = |m: &AgentMessage| matches!(m, AgentMessage::Finished { .. });
-        if frame.messages.iter().any(finished) {
-            self.step(Step::ResultSent, Where { entry, agent });
+        let is_finished = |m: &AgentMessage| matches!(m, AgentMessage::Finished { .. });
+        if frame.messages.iter().any(is_finished) {
+            self.reach_step(Step::ResultSent, FaultSite { entry, agent });
         }
-        let place = self.entry_place(entry);
-        for arrival in self.arrival(key, false) {
+        let process_id = self.entry_process_id(entry);
+        for arrival in self.arrivals(key, false) {
             let frame = frame.clone();
             let event = match (frame.n, frame.messages.first()) {
                 (1, Some(AgentMessage::Hello(hello))) => EntryEvent::AgentOpened {
@@ -140,7 +141,7 @@
                 },
                 _ => EntryEvent::AgentFrame { session, frame },
             };
-            self.at(arrival, Happening::ToEntry(place, Box::new(event)));
+            self.schedule_at(arrival, Event::ToEntry(process_id, Box::new(event)));
         }
     }
 
@@ -149,8 +150,8 @@
             entry: from,
             other: to,
         };
-        let both = self.entries[from].core.is_some() && self.entries[to].core.is_some();
-        if !both || self.peers.contains_key(&key) {
+        let both_run = self.entries[from].core.is_some() && self.entries[to].core.is_some();
+        if !both_run || self.peers.contains_key(&key) {
             return;
         }
         let session = self.next_session;
@@ -168,7 +169,7 @@
         PeerHello {
             protocol: PROTOCOL_VERSION,
             name: format!("entry-{index}").into(),
-            incarnation: ((index as u64 + 1) << 32) | self.entries[index].life,
+            incarnation: ((index as u64 + 1) << 32) | self.entries[index].incarnation,
             agent_address: format!("entry-{index}"),
             config: ConfigStamp::default(),
         }
@@ -188,9 +189,9 @@
         } else {
             key.entry
         };
-        let place = self.entry_place(other);
+        let process_id = self.entry_process_id(other);
         let event = EntryEvent::PeerFrame { session, frame };
-        self.after(LATENCY, Happening::ToEntry(place, Box::new(event)));
+        self.schedule_after(LATENCY, Event::ToEntry(process_id, Box::new(event)));
     }
 
     pub(super) fn close_peer(&mut self, session: SessionId) {
@@ -202,12 +203,15 @@
             self.tell_entry(index, EntryEvent::PeerClosed(session));
         }
         let (from, to) = (key.entry, key.other);
-        self.after(REDIAL, Happening::DialPeer { from, to });
+        self.schedule_after(REDIAL, Event::DialPeer { from, to });
     }
 
-    pub(super) fn sessions_of(&self, f: impl Fn(&LinkKey) -> bool) -> Vec<SessionId> {
-        let of = self.agent_by_session.iter().filter(|(_, key)| f(key));
-        let mut sessions: Vec<SessionId> = of.map(|(session, _)| *session).collect();
+    pub(super) fn sessions_of(&self, is_wanted: impl Fn(&LinkKey) -> bool) -> Vec<SessionId> {
+        let matching = self
+            .agent_by_session
+            .iter()
+            .filter(|(_, key)| is_wanted(key));
+        let mut sessions: Vec<SessionId> = matching.map(|(session, _)| *session).collect();
         sessions.sort_unstable();
         sessions
     }
--- a/lib/testutils/src/virtual_fleet/targets.rs
+++ b/lib/testutils/src/virtual_fleet/targets.rs
@@ -1,12 +1,16 @@
-//! Targets of a virtual fleet: runs, their ends and their leases.
+//! Simulates targets: runs, their ends and their leases.
 
 use super::*;
 
 impl VirtualFleet {
-    pub(super) fn start_run(&mut self, place: Place, start: trestleknot_lib::agent::Start) {
-        let agent = place.index;
+    pub(super) fn start_run(
+        &mut self,
+        process_id: ProcessId,
+        start: trestleknot_lib::agent::Start,
+    ) {
+        let agent = process_id.index;
         let key = RunKey {
-            life: place.life,
+            incarnation: process_id.incarnation,
             run: start.run,
         };
         let target = &mut self.targets[agent];
@@ -15,7 +19,7 @@
                 run: start.run,
                 end: RunEnd::NotStarted,
             };
-            self.after(Duration::ZERO, Happening::ToAgent(place, Box::new(event)));
+            self.schedule_after(Duration::ZERO, Event::ToAgent(process_id, Box::new(event)));
             return;
         }
         let run_ms = start.spec.payload.rsplit('/').next();
@@ -38,28 +42,28 @@
             task: start.task,
             payload: start.spec.payload,
         });
-        let drained_at = self.drained_agents.get(&agent);
-        if drained_at.is_some_and(|at| self.now > *at + LEAVING_GRACE) {
+        let left_at = self.leaving_since.get(&agent);
+        if left_at.is_some_and(|at| self.now > *at + LEAVING_GRACE) {
             self.starts_while_leaving += 1;
         }
-        self.at(ends_at, Happening::RunOver { agent, run: key });
-        self.at(lease_until, Happening::LeaseOver { agent, run: key });
+        self.schedule_at(ends_at, Event::RunEnds { agent, run: key });
+        self.schedule_at(lease_until, Event::LeaseEnds { agent, run: key });
         let entry = self.entry_of(start.job);
-        self.step(Step::Started, Where { entry, agent });
+        self.reach_step(Step::Started, FaultSite { entry, agent });
     }
 
     pub(super) fn entry_of(&self, job: JobId) -> usize {
         (job.entry >> 32) as usize - 1
     }
 
-    pub(super) fn run_over(&mut self, agent: usize, key: RunKey) {
+    pub(super) fn end_run_if_due(&mut self, agent: usize, key: RunKey) {
         let now = self.now;
         let target = &mut self.targets[agent];
-        let over = target
+        let is_over = target
             .runs
             .get(&key)
             .is_some_and(|r| r.stopped || r.ends_at <= now);
-        if !over {
+        if !is_over {
             return;
         }
         let Some(run) = target.runs.remove(&key) else {
@@ -72,28 +76,28 @@
         } else {
             TaskOutcome::Succeeded(run.payload.clone())
         };
-        self.end_run(agent, key, outcome);
+        self.report_run_end(agent, key, outcome);
         let entry = self.entry_of(run.job);
         let _ = run.task;
-        self.step(Step::Finished, Where { entry, agent });
+        self.reach_step(Step::Finished, FaultSite { entry, agent });
     }
 
-    pub(super) fn lease_over(&mut self, agent: usize, key: RunKey) {
+    pub(super) fn lapse_lease_if_due(&mut self, agent: usize, key: RunKey) {
         let now = self.now;
         let target = &mut self.targets[agent];
         if target.runs.get(&key).is_some_and(|r| r.lease_until <= now) {
             target.runs.remove(&key);
-            self.end_run(agent, key, TaskOutcome::Lost);
+            self.report_run_end(agent, key, TaskOutcome::Lost);
         }
     }
 
-    pub(super) fn end_run(&mut self, agent: usize, key: RunKey, outcome: TaskOutcome) {
-        let place = Place {
+    pub(super) fn report_run_end(&mut self, agent: usize, key: RunKey, outcome: TaskOutcome) {
+        let process_id = ProcessId {
             index: agent,
-            life: key.life,
+            incarnation: key.incarnation,
         };
         let end = RunEnd::Ended(outcome);
         let event = AgentEvent::RunEnded { run: key.run, end };
-        self.after(Duration::ZERO, Happening::ToAgent(place, Box::new(event)));
+        self.schedule_after(Duration::ZERO, Event::ToAgent(process_id, Box::new(event)));
     }
 }
