--- a/lib/testutils/src/load.rs
+++ b/lib/testutils/src/load.rs
@@ -1,4 +1,4 @@
-//! Loads: which jobs are submitted when, from a seed.
+//! Generates loads: the jobs to submit and their times, from a seed.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 
 use crate::caller::PlannedJob;
 
-/// The shapes of load.
+/// Shape of a load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shape {
-    /// Both users' jobs: unlocks and payments of one task, batches of several.
+    /// All job kinds, with steady random arrivals.
     Mixed,
-    /// Jobs come in bursts of many at a moment.
+    /// Jobs arrive in bursts.
     Bursts,
-    /// A few tasks take many times as long as declared.
+    /// A few tasks run many times as long as declared.
     Stragglers,
-    /// Declared run times are far from the truth, both ways.
+    /// Declared run times are far too short or too long.
     WrongDeclarations,
 }
 
@@ -25,11 +25,11 @@
 pub struct Load {
     /// Its shape.
     pub shape: Shape,
-    /// Slots that it keeps busy on average.
+    /// Average number of slots that it keeps busy.
     pub slots: f64,
     /// How long jobs are submitted.
     pub length: Duration,
-    /// Keys of the teams that submit in turn.
+    /// Keys of the submitting teams; each job uses a random one.
     pub keys: Vec<String>,
     /// Seed.
     pub seed: u64,
@@ -41,7 +41,7 @@
     tasks: std::ops::RangeInclusive<usize>,
     run_ms: std::ops::RangeInclusive<u64>,
     deadline_ms: u64,
-    /// How often it comes, against the others.
+    /// Relative frequency.
     weight: u32,
 }
 
@@ -83,15 +83,15 @@
     },
 ];
 
-/// One in so many tasks straggles.
+/// One task in this many is a straggler.
 const STRAGGLER_EVERY: u32 = 50;
-/// How many times as long a straggler takes.
+/// Factor on the run time of a straggler.
 const STRAGGLER_FACTOR: u64 = 8;
-/// Jobs of one burst.
-const BURST: usize = 20;
+/// Number of jobs in a burst.
+const BURST_JOBS: usize = 20;
 
 impl Load {
-    /// The jobs in the order of their times: arrivals are random and do not wait for answers.
+    /// The jobs in order of submission; arrivals are random and don't depend on answers.
     pub fn jobs(&self) -> Vec<PlannedJob> {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let per_second = self.slots / mean_work_seconds();
@@ -99,7 +99,7 @@
         let mut at = 0.0;
         while at < self.length.as_secs_f64() {
             let burst = if self.shape == Shape::Bursts {
-                BURST
+                BURST_JOBS
             } else {
                 1
             };
@@ -132,8 +132,8 @@
 
     fn run_ms(&self, rng: &mut ChaCha8Rng, kind: &JobKind) -> u64 {
         let run = rng.random_range(kind.run_ms.clone());
-        let straggles = self.shape == Shape::Stragglers && rng.random_ratio(1, STRAGGLER_EVERY);
-        if straggles {
+        let is_straggler = self.shape == Shape::Stragglers && rng.random_ratio(1, STRAGGLER_EVERY);
+        if is_straggler {
             run * STRAGGLER_FACTOR
         } else {
             run
@@ -142,7 +142,7 @@
 
     fn declared_ms(&self, rng: &mut ChaCha8Rng, mean: u32) -> u32 {
         if self.shape == Shape::WrongDeclarations {
-            // From a tenth to ten times the truth.
+            // From a tenth to ten times the mean.
             let factor = 10f64.powf(rng.random_range(-1.0..1.0));
             (f64::from(mean) * factor) as u32
         } else {
@@ -152,20 +152,20 @@
 }
 
 fn pick_kind(rng: &mut ChaCha8Rng) -> &'static JobKind {
-    let all: u32 = KINDS.iter().map(|k| k.weight).sum();
-    let mut left = rng.random_range(0..all);
+    let total: u32 = KINDS.iter().map(|k| k.weight).sum();
+    let mut remaining = rng.random_range(0..total);
     for kind in &KINDS {
-        if left < kind.weight {
+        if remaining < kind.weight {
             return kind;
         }
-        left -= kind.weight;
+        remaining -= kind.weight;
     }
     &KINDS[0]
 }
 
-/// Average work of a job, in seconds of one slot.
+/// Mean work of a job in slot seconds.
 fn mean_work_seconds() -> f64 {
-    let all: u32 = KINDS.iter().map(|k| k.weight).sum();
+    let total: u32 = KINDS.iter().map(|k| k.weight).sum();
     let work: f64 = KINDS
         .iter()
         .map(|k| {
@@ -174,5 +174,5 @@
             f64::from(k.weight) * tasks * run
         })
         .sum();
-    work / f64::from(all)
+    work / f64::from(total)
 }
--- a/lib/testutils/src/scenario.rs
+++ b/lib/testutils/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios to measure: a load on an embedded fleet, and what goes wrong meanwhile.
+//! Scenarios for measurements: a load on an embedded fleet and a fault halfway through.
 
 use std::cell::RefCell;
 use std::io;
@@ -20,31 +20,31 @@
 use crate::load::{Load, Shape};
 use crate::summary::{Lag, Summary};
 
-/// Entries of a measured fleet.
+/// Number of entries.
 pub const ENTRIES: usize = 3;
-/// Targets of a measured fleet.
+/// Number of targets.
 pub const TARGETS: usize = 10;
 /// Slots of each target.
 pub const SLOTS: u32 = 8;
-/// How long the fleet has to find itself.
-const SETTLE_LIMIT: Duration = Duration::from_secs(10);
-/// The entry or target that something happens to.
-const STRUCK: usize = 1;
-/// How long callers of a cancellation wave wait.
-const WAVE_PATIENCE: Duration = Duration::from_millis(150);
+/// Longest wait until all processes have connected.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Index of the entry or target that a fault affects.
+const FAULTY_INDEX: usize = 1;
+/// Time after which callers of a cancellation wave give up.
+const CANCEL_AFTER: Duration = Duration::from_millis(150);
 
-/// What goes wrong half-way.
+/// The fault halfway through a scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
-    /// Nothing.
+pub enum ScenarioFault {
+    /// No fault.
     None,
-    /// One target fails everything at once.
+    /// One target fails every task at once.
     FailingTarget,
     /// One target takes three times as long.
     SlowTarget,
-    /// One target leaves in order.
+    /// One target drains.
     LeavingTarget,
-    /// Half of the callers go away after a moment.
+    /// Half of the callers disconnect shortly after submission.
     CancellationWave,
     /// An entry dies.
     EntryDies,
@@ -57,12 +57,12 @@
 pub struct Scenario {
     /// Its name on the command line.
     pub name: &'static str,
-    /// Part of the slots that the load would keep busy.
+    /// Load as a fraction of all slots.
     pub load: f64,
     /// Shape of the load.
     pub shape: Shape,
-    /// What goes wrong.
-    pub trouble: Trouble,
+    /// The fault.
+    pub fault: ScenarioFault,
     /// Quota of each team.
     pub quota: u32,
 }
@@ -74,7 +74,7 @@
         name,
         load,
         shape: Shape::Mixed,
-        trouble: Trouble::None,
+        fault: ScenarioFault::None,
         quota: NO_QUOTA,
     }
 }
@@ -86,9 +86,9 @@
     }
 }
 
-const fn troubled(name: &'static str, trouble: Trouble) -> Scenario {
+const fn with_fault(name: &'static str, fault: ScenarioFault) -> Scenario {
     Scenario {
-        trouble,
+        fault,
         ..steady(name, 0.6)
     }
 }
@@ -101,12 +101,12 @@
     shaped("bursts", Shape::Bursts),
     shaped("stragglers", Shape::Stragglers),
     shaped("wrong-declarations", Shape::WrongDeclarations),
-    troubled("failing-target", Trouble::FailingTarget),
-    troubled("slow-target", Trouble::SlowTarget),
-    troubled("leaving-target", Trouble::LeavingTarget),
-    troubled("cancellation-wave", Trouble::CancellationWave),
-    troubled("entry-dies", Trouble::EntryDies),
-    troubled("target-dies", Trouble::TargetDies),
+    with_fault("failing-target", ScenarioFault::FailingTarget),
+    with_fault("slow-target", ScenarioFault::SlowTarget),
+    with_fault("leaving-target", ScenarioFault::LeavingTarget),
+    with_fault("cancellation-wave", ScenarioFault::CancellationWave),
+    with_fault("entry-dies", ScenarioFault::EntryDies),
+    with_fault("target-dies", ScenarioFault::TargetDies),
     Scenario {
         quota: 20,
         ..steady("over-quota", 0.8)
@@ -116,30 +116,30 @@
     steady("overload5", 5.0),
 ];
 
-/// What came of a scenario under one placement.
+/// Results of a scenario with one placement mode.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
-    /// The placement.
+    /// The placement mode.
     pub placement: PlacementMode,
     /// Counts and lag.
     pub summary: Summary,
-    /// Messages by kind over all entries that still ran at the end.
+    /// Counters summed over the entries that still ran at the end.
     pub counters: Counters,
-    /// Wasted messages over all messages that serve tasks.
+    /// Wasted messages divided by all task messages.
     pub waste: f64,
-    /// Refusals of requests of which something ran: broken promises.
+    /// Number of refused requests although some of their tasks ran.
     pub false_refusals: usize,
-    /// Work of complete jobs that were in time, in slots kept busy on average.
+    /// Average number of slots busy with jobs that completed in time.
     pub goodput_slots: f64,
     /// Median time to a refusal, in milliseconds.
     pub refusal_ms: f64,
-    /// Lag of a central queue that knows everything at once, for the same jobs.
+    /// Lag of an ideal central queue with the same jobs.
     pub central: Lag,
-    /// Median response less ideal of the complete jobs, in milliseconds.
+    /// Median of response time minus ideal time over complete jobs, in milliseconds.
     pub overhead_ms: f64,
 }
 
-/// Runs a scenario once. Must not run on an ntex system, for it starts one.
+/// Runs a scenario once. Must not be called on an ntex system, because it starts one.
 pub fn run(
     scenario: &Scenario,
     placement: PlacementMode,
@@ -169,47 +169,57 @@
         keys: vec!["nile-crescent-key".to_owned(), "taquari-key".to_owned()],
         seed,
     };
-    let jobs = with_wave(load.jobs(), scenario.trouble, length);
-    let trouble = scenario.trouble;
-    let (fleet, records, counters) = block_on(drive(fleet, jobs, trouble, length));
+    let jobs = with_cancellations(load.jobs(), scenario.fault, length);
+    let fault = scenario.fault;
+    let (fleet, records, counters) = block_on(drive(fleet, jobs, fault, length));
     let starts = fleet.starts.clone();
     fleet.stop();
     Ok(outcome(placement, &records, counters, &starts))
 }
 
-/// Makes half of the callers in the second half go away.
-fn with_wave(mut jobs: Vec<PlannedJob>, trouble: Trouble, length: Duration) -> Vec<PlannedJob> {
-    if trouble == Trouble::CancellationWave {
+/// For a cancellation wave, makes every second caller in the second half give up early.
+fn with_cancellations(
+    mut jobs: Vec<PlannedJob>,
+    fault: ScenarioFault,
+    length: Duration,
+) -> Vec<PlannedJob> {
+    if fault == ScenarioFault::CancellationWave {
         let late = jobs.iter_mut().filter(|j| j.at >= length / 2);
         for job in late.step_by(2) {
-            job.give_up_after = Some(WAVE_PATIENCE);
+            job.give_up_after = Some(CANCEL_AFTER);
         }
     }
     jobs
 }
 
 fn block_on<T: 'static>(future: impl Future<Output = T> + 'static) -> T {
-    let slot = Rc::new(RefCell::new(None));
-    let result = slot.clone();
+    let result = Rc::new(RefCell::new(None));
+    let shared = result.clone();
     trestleknot_lib::worker_threads::run_system("measure", async move {
-        *result.borrow_mut() = Some(future.await);
+        *shared.borrow_mut() = Some(future.await);
     });
-    slot.take().expect("the future has run to its end")
+    result.take().expect("the future has completed")
 }
 
+/// The fleet after the load, the jobs' records and the summed counters.
 type Driven = (Fleet, Vec<JobRecord>, Counters);
 
-async fn drive(fleet: Fleet, jobs: Vec<PlannedJob>, trouble: Trouble, length: Duration) -> Driven {
+async fn drive(
+    fleet: Fleet,
+    jobs: Vec<PlannedJob>,
+    fault: ScenarioFault,
+    length: Duration,
+) -> Driven {
     settle(&fleet).await;
     let addresses = Rc::new(RefCell::new(fleet.caller_addresses()));
-    let chosen = addresses.clone();
+    let current = addresses.clone();
     let choose = Rc::new(move |index: usize| {
-        let live = chosen.borrow();
-        live[index % live.len()]
+        let alive = current.borrow();
+        alive[index % alive.len()]
     });
     let submitting = ntex::rt::spawn(caller::submit_all(jobs, choose));
     ntex::time::sleep(length / 2).await;
-    let fleet = strike(fleet, trouble, &addresses);
+    let fleet = inject_fault(fleet, fault, &addresses);
     let records = submitting.await.unwrap_or_default();
     let mut counters = Counters::default();
     for status in statuses_of(&fleet).await {
@@ -218,19 +228,23 @@
     (fleet, records, counters)
 }
 
-fn strike(mut fleet: Fleet, trouble: Trouble, addresses: &RefCell<Vec<SocketAddr>>) -> Fleet {
-    let target = &fleet.targets[STRUCK];
-    match trouble {
-        Trouble::None | Trouble::CancellationWave => {}
-        Trouble::FailingTarget => target.target.set_faults(TargetFaults {
+fn inject_fault(
+    mut fleet: Fleet,
+    fault: ScenarioFault,
+    addresses: &RefCell<Vec<SocketAddr>>,
+) -> Fleet {
+    let target = &fleet.targets[FAULTY_INDEX];
+    match fault {
+        ScenarioFault::None | ScenarioFault::CancellationWave => {}
+        ScenarioFault::FailingTarget => target.target.set_faults(TargetFaults {
             fail_all: true,
             ..TargetFaults::default()
         }),
-        Trouble::SlowTarget => target.target.set_faults(TargetFaults {
+        ScenarioFault::SlowTarget => target.target.set_faults(TargetFaults {
             slowdown: 3.0,
             ..TargetFaults::default()
         }),
-        Trouble::LeavingTarget => {
+        ScenarioFault::LeavingTarget => {
             fleet.vms.put(VmRecord {
                 name: target.name.as_str().into(),
                 role: VmRole::Target,
@@ -241,31 +255,31 @@
                 agent.drain();
             }
         }
-        Trouble::EntryDies => {
-            fleet.kill_entry(STRUCK);
+        ScenarioFault::EntryDies => {
+            fleet.kill_entry(FAULTY_INDEX);
             *addresses.borrow_mut() = fleet.caller_addresses();
         }
-        Trouble::TargetDies => fleet.kill_target(STRUCK),
+        ScenarioFault::TargetDies => fleet.kill_target(FAULTY_INDEX),
     }
     fleet
 }
 
-/// Waits until every entry has every target.
+/// Waits until every entry has all targets and the current configuration, up to a limit.
 pub async fn settle(fleet: &Fleet) {
-    let mut left = SETTLE_LIMIT;
+    let mut time_left = SETTLE_TIMEOUT;
     let pause = Duration::from_millis(50);
-    while !left.is_zero() {
+    while !time_left.is_zero() {
         let statuses = statuses_of(fleet).await;
-        let whole = |s: &EntryStatus| s.targets.len() == TARGETS && s.config_current;
-        if statuses.len() == ENTRIES && statuses.iter().all(whole) {
+        let is_settled = |s: &EntryStatus| s.targets.len() == TARGETS && s.config_current;
+        if statuses.len() == ENTRIES && statuses.iter().all(is_settled) {
             return;
         }
         ntex::time::sleep(pause).await;
-        left = left.saturating_sub(pause);
+        time_left = time_left.saturating_sub(pause);
     }
 }
 
-/// The statuses of the entries that run.
+/// Statuses of the running entries.
 pub async fn statuses_of(fleet: &Fleet) -> Vec<EntryStatus> {
     let client = caller::new_client().await;
     let mut statuses = Vec::new();
@@ -281,14 +295,14 @@
     statuses
 }
 
-fn add(sum: &mut Counters, more: &Counters) {
-    sum.complete += more.complete;
-    sum.failed += more.failed;
-    sum.refused += more.refused;
-    sum.dispatched += more.dispatched;
-    sum.not_started += more.not_started;
-    sum.wasted += more.wasted;
-    for (kind, n) in &more.messages {
+fn add(sum: &mut Counters, other: &Counters) {
+    sum.complete += other.complete;
+    sum.failed += other.failed;
+    sum.refused += other.refused;
+    sum.dispatched += other.dispatched;
+    sum.not_started += other.not_started;
+    sum.wasted += other.wasted;
+    for (kind, n) in &other.messages {
         *sum.messages.entry(kind.clone()).or_default() += n;
     }
 }
@@ -299,16 +313,16 @@
     counters: Counters,
     starts: &StartRecord,
 ) -> Outcome {
-    let in_time = |r: &&JobRecord| {
+    let is_in_time = |r: &&JobRecord| {
         r.heard == Heard::Complete && r.response.as_millis() as u64 <= r.job.deadline_ms
     };
     let work: u64 = records
         .iter()
-        .filter(in_time)
+        .filter(is_in_time)
         .flat_map(|r| &r.job.run_ms)
         .sum();
-    let last = records.iter().map(|r| r.answered_at).max();
-    let last = last.unwrap_or_default().as_secs_f64().max(1e-3);
+    let last_answer = records.iter().map(|r| r.answered_at).max();
+    let last_answer = last_answer.unwrap_or_default().as_secs_f64().max(1e-3);
     let waste = counters.wasted as f64 / counters.task_messages().max(1) as f64;
     Outcome {
         placement,
@@ -316,7 +330,7 @@
         counters,
         waste,
         false_refusals: records.iter().filter(|r| is_false(r, starts)).count(),
-        goodput_slots: work as f64 / 1e3 / last,
+        goodput_slots: work as f64 / 1e3 / last_answer,
         refusal_ms: median_refusal_ms(records),
         central: central_lag(records),
         overhead_ms: median_overhead_ms(records),
@@ -344,7 +358,7 @@
         .map_or(0.0, |t| t.as_secs_f64() * 1e3)
 }
 
-/// Whether a refusal is untrue: something of the request ran.
+/// Whether a request was refused although some of its tasks ran.
 pub fn is_false(record: &JobRecord, starts: &StartRecord) -> bool {
     let refused = matches!(&record.heard, Heard::Refused(Answer::Refused { .. }));
     let mut ids = (0..record.job.run_ms.len()).map(|index| record.job.task_id(index));
