--- a/lib/src/active_batch.rs
+++ b/lib/src/active_batch.rs
@@ -32,7 +32,7 @@
 /// A task and the history of its runs.
 #[derive(Debug, Clone)]
 pub struct Task {
-    /// State of the task.
+    /// Whether the task waits, runs or is done.
     pub state: TaskState,
     /// Number of the current run, or of the next one.
     pub run: RunNumber,
@@ -49,7 +49,7 @@
 pub struct Step {
     /// The step as submitted.
     pub spec: StepSpec,
-    /// Tasks of the step.
+    /// The step's tasks, by index.
     pub tasks: Vec<Task>,
     /// Number of tasks that are not done.
     pub unfinished: u32,
@@ -62,9 +62,8 @@
 
 impl Step {
     /// Records a task that is slow at an agent, with its projected run time. Returns whether tasks
-    /// have been slow at two agents. Then the estimate is wrong, and moving tasks would never end.
-    /// The shortest projected time replaces the estimate: in further orders, the wrong estimate
-    /// would make targets appear slow to all entries.
+    /// have been slow at two agents. The estimate then counts as wrong: the shortest projected time
+    /// replaces it in further orders, so that targets don't appear slow.
     pub fn is_slow_everywhere(&mut self, agent: &NodeName, projected: Duration) -> bool {
         let (first, shortest) = self
             .slow_at
@@ -115,7 +114,7 @@
     pub payload: Payload,
     /// Steps of the batch.
     pub steps: Vec<Step>,
-    /// Time of arrival.
+    /// Time at which its caller last submitted it here.
     pub arrived: Now,
     /// Time by which it should be done according to its objective.
     pub due: Now,
@@ -134,7 +133,7 @@
     pub payload_sent_to: BTreeSet<SessionId>,
     /// Number of open runs.
     pub open_runs: u32,
-    /// State of the batch.
+    /// Whether the batch is being run or closed.
     pub state: BatchState,
 }
 
@@ -179,7 +178,7 @@
         }
     }
 
-    /// Returns the batch's position in the placement order.
+    /// Returns the batch's current position in the placement order.
     pub fn placement_order(&self) -> PlacementOrder {
         PlacementOrder {
             is_overdue: self.is_overdue,
@@ -206,7 +205,7 @@
         tasks.any(|task| task.crashes.must_run_alone())
     }
 
-    /// Returns the number of waiting tasks in steps that are ready.
+    /// Returns the number of waiting tasks in steps that are ready; 0 unless the batch is open.
     pub fn waiting_tasks(&self) -> u32 {
         if self.state != BatchState::Open {
             return 0;
@@ -241,6 +240,7 @@
                 let key = RunKey {
                     task: TaskKey {
                         batch: id,
+                        // Batches are not repeated.
                         time: 0,
                         step: step_index as u16,
                         index: index as u16,
@@ -271,8 +271,8 @@
     pub placement_deadline: Now,
 }
 
-/// Position of a batch in the placement order: by due time, but overdue batches come last. They
-/// can't be in time any more, and would make others late.
+/// Position of a batch in the placement order: by due time, but overdue batches come last, because
+/// they can't be in time any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlacementOrder {
     /// Same as [`Batch::is_overdue`].
--- a/lib/src/batch_entry.rs
+++ b/lib/src/batch_entry.rs
@@ -17,7 +17,7 @@
 
 use crate::backlog_monitor::BacklogMonitor;
 use crate::batch_event::{EntryAction, EntryEvent, EntryLevels, EntryOptions, Reply};
-use crate::batch_placing::{Placed, PlacementRound};
+use crate::batch_placing::{PlacementRound, StartGroup};
 use crate::batch_table::{BatchChange, BatchTable, RunOutcome};
 use crate::deferred_batches::DeferredBatches;
 use crate::entry_directory::{EntryDirectory, Source};
@@ -35,8 +35,8 @@
 /// Number of batches without capacity after which a placement round ends.
 const MAX_PLACEMENT_MISSES: u32 = 6;
 
-/// How long capacity counts as scarce after a task found none. Placement rounds that end at a full
-/// link don't show whether it still is.
+/// How long capacity counts as scarce after a task found none. A placement round that ends because
+/// the link is full doesn't show whether capacity is still scarce.
 const CAPACITY_SHORTAGE_TTL: Duration = Duration::from_millis(100);
 
 /// Estimated bytes of a reply to a caller, including headers.
@@ -47,8 +47,8 @@
 struct Outbox {
     /// Orders, sent when the current event has been handled.
     orders: Vec<Order>,
-    /// Newly discovered entries, sent with the next packet. Sending them at once would flood the
-    /// agents when many entries start together.
+    /// Newly discovered entries, sent with the next packet. They cause no packet of their own,
+    /// because many entries may start together.
     entries: Vec<SocketAddr>,
 }
 
@@ -240,8 +240,6 @@
         at.is_some_and(|at| at + CAPACITY_SHORTAGE_TTL > self.now)
     }
 
-    // Runs.
-
     fn place_waiting(&mut self) {
         if !self.needs_placing {
             return;
@@ -255,14 +253,14 @@
             hall: &self.options.hall,
             table: &mut self.table,
             targets: &mut self.targets,
-            link: &mut self.link_load,
+            link_load: &mut self.link_load,
             rng: &mut self.rng,
             placed: Vec::new(),
             lacked_capacity: false,
         };
         let mut misses = 0;
         for id in ids {
-            if round.link.full_until(self.now).is_some() {
+            if round.link_load.full_until(self.now).is_some() {
                 break;
             }
             let is_blocked = directory.is_closing_at_peer(self.now, id);
@@ -284,8 +282,8 @@
         }
     }
 
-    fn order_start(&mut self, placed: Placed) {
-        let Placed {
+    fn order_start(&mut self, placed: StartGroup) {
+        let StartGroup {
             link,
             batch: id,
             step,
@@ -360,8 +358,6 @@
         }
     }
 
-    // Shutdown and packets.
-
     fn learn_entries(&mut self, addresses: Vec<SocketAddr>) {
         let new_entries = self.directory.learn(self.now, Source::Platform, addresses);
         self.announce_entries(new_entries);
--- a/lib/src/batch_entry/agents.rs
+++ b/lib/src/batch_entry/agents.rs
@@ -19,7 +19,7 @@
 
 /// A slow run is moved if running it elsewhere takes less than this share of its remaining time.
 const MOVE_THRESHOLD: f64 = 0.7;
-/// Overhead of a move: the stop, its report and a new start order.
+/// Assumed overhead of a move: the stop, its report and a new start order.
 const MOVE_COST: Duration = Duration::from_millis(25);
 /// Upper bound on the number of waiting tasks reported to agents.
 const MAX_REPORTED_WAITING: u32 = 1_000;
--- a/lib/src/batch_entry/callers.rs
+++ b/lib/src/batch_entry/callers.rs
@@ -15,17 +15,17 @@
 use crate::run::BatchId;
 use crate::wait_forecast;
 
-/// Run time relative to the estimate on the slowest healthy targets. The rest of the objective is
-/// the batch's slack. A batch that waits longer than its slack would be late and delay others.
+/// Run time on the slowest healthy targets, as a multiple of the estimate. The rest of the
+/// objective is the batch's slack: a batch that waits longer is likely to be late.
 const SLOWEST_HEALTHY_FACTOR: f64 = 1.25;
-/// Shortest wait for placement while no target is usable. Agents discover a new entry within it.
+/// Shortest wait for placement while no target is usable.
 const MIN_WAIT_WITHOUT_TARGETS: Duration = Duration::from_millis(500);
 /// Extension of the placement deadline of a batch that waits only for this VM's own link. Such a
-/// batch isn't refused when its slack is spent: targets are free, and it is served late.
+/// batch isn't refused, because targets are free.
 const LINK_WAIT_EXTENSION: Duration = Duration::from_millis(50);
-/// Default retry time. A configuration or a target is usually found by then.
+/// Default retry time.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Retry time if every target is evacuated. An evacuation lasts at least several seconds.
+/// Retry time if every target of the service is evacuated.
 const EVACUATED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 impl BatchEntryCore {
@@ -45,7 +45,8 @@
         }
     }
 
-    /// Admits the batches that arrived before the first configuration; refuses those that expired.
+    /// Once there is a configuration, admits or refuses the batches that arrived before it. Until
+    /// then, refuses those that have waited too long.
     pub(super) fn settle_deferred(&mut self) {
         let has_config = self.directory.config().table().is_some();
         let ready = if has_config {
@@ -167,8 +168,8 @@
         }
     }
 
-    /// Refuses undispatched batches whose tasks can't all be placed in time any more, even if they
-    /// came next. If started, they would be late and delay others.
+    /// Refuses batches that are neither dispatched nor overdue and whose tasks can't all be placed
+    /// in time any more, even if they came next. They would be late and delay others.
     pub(super) fn refuse_unplaceable_batches(&mut self) {
         if self.forecast.wait_for(self.now, 1).is_none() {
             return;
@@ -420,7 +421,7 @@
     }
 
     /// Answers all open requests, so that no connection ends without a reply. Agents stop the open
-    /// runs within half a second of this process's exit.
+    /// runs of a process that has exited and doesn't reconnect in time.
     pub(super) fn answer_open_requests(&mut self) {
         for submission in self.deferred.take_all() {
             self.admit_or_refuse(submission);
--- a/lib/src/batch_placing.rs
+++ b/lib/src/batch_placing.rs
@@ -1,8 +1,9 @@
 //! Places waiting tasks on targets.
 //!
 //! A round records each placement with the batches and the targets, and collects the start orders
-//! to send. If one task of a step finds no capacity, the step's other tasks are skipped: they need
-//! the same resources.
+//! to send. If a task of a step finds no capacity, the rest of the step is skipped, because all its
+//! tasks need the same resources. A task that is suspected of crashing targets is an exception: it
+//! may lack only an idle target.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,12 +20,12 @@
 use crate::run_message::START_BYTES;
 use crate::target_registry::{Need, TargetRegistry, TargetView};
 
-/// Lower bound on run times where a cost is expressed as a share of the run time.
+/// Shortest estimate by which the payload's cost is divided.
 const MIN_RUN_TIME: Duration = Duration::from_millis(10);
 
-/// Tasks of one step placed together on one target.
+/// Tasks of one step to start on one target with one order.
 #[derive(Debug)]
-pub struct Placed {
+pub struct StartGroup {
     /// Link to the target's agent.
     pub link: SessionId,
     /// Id of the batch.
@@ -48,7 +49,7 @@
 }
 
 /// Target chosen for a task.
-struct Placement {
+struct ChosenTarget {
     link: SessionId,
     alone: bool,
 }
@@ -64,17 +65,18 @@
     /// All targets known to the entry.
     pub targets: &'a mut TargetRegistry,
     /// Load of the entry's own network link.
-    pub link: &'a mut LinkLoad,
+    pub link_load: &'a mut LinkLoad,
     /// Random number generator.
     pub rng: &'a mut ChaCha8Rng,
     /// Tasks placed so far.
-    pub placed: Vec<Placed>,
+    pub placed: Vec<StartGroup>,
     /// Whether a task found no target with free capacity.
     pub lacked_capacity: bool,
 }
 
 impl PlacementRound<'_> {
-    /// Places a batch's waiting tasks; returns whether all of them were placed.
+    /// Tries to place the waiting tasks of a batch's ready steps. Returns false if the link was
+    /// full or a task that isn't suspected found no target.
     pub fn place(&mut self, id: BatchId) -> bool {
         let Some(batch) = self.table.get(id) else {
             return true;
@@ -114,7 +116,7 @@
         }
         let mut all_placed = true;
         for task in self.waiting_tasks(id, step) {
-            if self.link.full_until(self.now).is_some() {
+            if self.link_load.full_until(self.now).is_some() {
                 all_placed = false;
                 break;
             }
@@ -134,7 +136,7 @@
         }
         for ((link, alone), runs) in by_link {
             let batch = id;
-            self.placed.push(Placed {
+            self.placed.push(StartGroup {
                 link,
                 batch,
                 step,
@@ -153,19 +155,20 @@
         };
         let is_new = batch.payload_sent_to.insert(link);
         let payload = if is_new { batch.payload.len() } else { 0 };
-        self.link.sent(self.now, START_BYTES + payload);
+        self.link_load.sent(self.now, START_BYTES + payload);
     }
 
-    /// Returns the cost of sending the payload to one more target, as a share of a task's run time.
+    /// Returns the cost of sending the payload to one more target, as a multiple of a task's
+    /// estimate.
     fn payload_cost(&self, batch: &Batch, spec: &StepSpec) -> f64 {
-        let price = self.link.price(self.now, batch.payload.len());
+        let price = self.link_load.price(self.now, batch.payload.len());
         price.div_duration_f64(spec.estimate.max(MIN_RUN_TIME))
     }
 
-    /// Chooses a target for a task and records the run. A suspected task goes to an idle target if
-    /// there is one, or else to a target without other suspects. This clears harmless tasks sooner
-    /// and limits the runs lost in a crash.
-    fn place_task(&mut self, id: BatchId, step: usize, task: &WaitingTask) -> Option<Placement> {
+    /// Chooses a target for a task and records the run. A suspected task goes to an idle target. If
+    /// there is none, it goes to a target without other suspects, unless it must run alone.
+    /// Keeping suspects apart shows sooner which of them crashes targets.
+    fn place_task(&mut self, id: BatchId, step: usize, task: &WaitingTask) -> Option<ChosenTarget> {
         let mut chosen = None;
         if task.crashes.is_suspect() {
             chosen = self.choose(id, step, task, true);
@@ -185,6 +188,7 @@
         let key = RunKey {
             task: TaskKey {
                 batch: id,
+                // Batches are not repeated.
                 time: 0,
                 step: step as u16,
                 index: task.index,
@@ -194,7 +198,7 @@
         self.targets.sent_start(self.now, link, reserved);
         self.record_start(id, link);
         self.table.record_run(self.now, key, &agent);
-        Some(Placement { link, alone })
+        Some(ChosenTarget { link, alone })
     }
 
     fn choose(
@@ -202,7 +206,7 @@
         id: BatchId,
         step: usize,
         task: &WaitingTask,
-        is_idle: bool,
+        needs_idle_target: bool,
     ) -> Option<SessionId> {
         let batch = self.table.get(id)?;
         let spec = &batch.steps[step].spec;
@@ -214,7 +218,7 @@
             avoid: task.avoid.as_deref(),
             payload_sent_to: &batch.payload_sent_to,
             payload_cost: self.payload_cost(batch, spec),
-            is_idle,
+            is_idle: needs_idle_target,
         };
         let table = &*self.table;
         let is_excluded = |view: &TargetView| {
--- a/lib/src/batch_table.rs
+++ b/lib/src/batch_table.rs
@@ -9,8 +9,7 @@
 use crate::ids::{NodeName, Now, RequestId, SessionId};
 use crate::run::{BatchId, RunKey, RunNumber};
 
-/// Increment of a task's run number after a target has seen a higher one. It exceeds the usual
-/// number of runs that one entry starts.
+/// Additional increment of a task's run number after a target has seen a higher one.
 const RUN_NUMBER_JUMP: RunNumber = 8;
 
 /// Outcome of a run for its task.
@@ -51,14 +50,17 @@
     batches: BTreeMap<BatchId, Batch>,
     /// Number of waiting tasks per batch, in placement order.
     waiting: BTreeMap<(PlacementOrder, BatchId), u32>,
+    /// Sum of the values of `waiting`.
     waiting_tasks: u32,
+    /// Deadlines that [`Self::take_due`] has not returned yet.
     deadlines: BTreeSet<(Now, BatchId)>,
     by_request: BTreeMap<RequestId, BatchId>,
+    /// Open runs.
     by_agent: BTreeMap<NodeName, BTreeSet<RunKey>>,
 }
 
 impl BatchTable {
-    /// Inserts a batch.
+    /// Adds a new batch, and its tasks to the waiting ones.
     pub fn insert(&mut self, id: BatchId, batch: Batch) {
         if let Some(request) = batch.request {
             self.by_request.insert(request, id);
@@ -232,12 +234,12 @@
         due
     }
 
-    /// Returns the next deadline of any batch.
+    /// Returns the earliest deadline of all batches.
     pub fn next_deadline(&self) -> Option<Now> {
         self.deadlines.first().map(|(at, _)| *at)
     }
 
-    /// Records that a task was assigned to an agent.
+    /// Records that a start order for a run is sent to an agent.
     pub fn record_run(&mut self, now: Now, key: RunKey, agent: &NodeName) {
         let Some(batch) = self.batches.get_mut(&key.task.batch) else {
             return;
@@ -357,9 +359,7 @@
         )
     }
 
-    /// Marks a run as being stopped in order to move its task, and returns its agent, unless the
-    /// run is already being stopped. The task then avoids that agent, to which it might otherwise
-    /// return repeatedly.
+    /// Like [`Self::mark_stopping`], for a run whose task is to move to another target.
     pub fn mark_moving(&mut self, key: RunKey) -> Option<NodeName> {
         let agent = self.mark_stopping(key)?;
         let task = self.batches.get_mut(&key.task.batch)?.task_mut(key)?;
@@ -367,7 +367,8 @@
         Some(agent)
     }
 
-    /// Marks an open run as being stopped. Returns its agent, unless it was already being stopped.
+    /// Marks an open run as being stopped, and makes its task avoid the run's agent. Returns the
+    /// agent, or none if the run isn't open or was already being stopped.
     pub fn mark_stopping(&mut self, key: RunKey) -> Option<NodeName> {
         let batch = self.batches.get_mut(&key.task.batch)?;
         let task = batch.task_mut(key)?;
@@ -385,7 +386,8 @@
         Some(agent.clone())
     }
 
-    /// Closes a batch: none of its tasks starts any more. Returns the runs to stop.
+    /// Begins to close a batch: none of its tasks starts any more. Returns the runs to stop,
+    /// without those already being stopped.
     pub fn close(&mut self, id: BatchId, reason: CloseReason) -> Vec<(RunKey, NodeName)> {
         let Some(batch) = self.batches.get_mut(&id) else {
             return Vec::new();
--- a/lib/src/capacity_shares.rs
+++ b/lib/src/capacity_shares.rs
@@ -1,9 +1,10 @@
 //! Divides a target's free capacity among the entries that wait for it.
 //!
-//! An entry uses a free slot as soon as it learns of it. If all entries learnt of the same slot,
-//! all but one of their orders would be rejected. So a scarce slot is reserved for one entry at a
-//! time, by round robin weighted by the number of waiting tasks. A reservation is only a hint: the
-//! agent checks every order against the capacity that is really free.
+//! A slot is the free capacity for one typical task. An entry uses a slot as soon as it learns of
+//! it. If all entries learnt of the same slot, all but one of their orders would be rejected. So a
+//! scarce slot is reserved for one entry at a time, by round robin weighted by the number of
+//! waiting tasks. A reservation is only a hint: the agent checks every order against the capacity
+//! that is really free.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,7 +12,7 @@
 use crate::ids::{Now, SessionId};
 use crate::resources::Resources;
 
-/// Lifetime of a reservation: several round trips, after which another entry gets the slot.
+/// Lifetime of a reservation that its entry doesn't use.
 const RESERVATION_TTL: Duration = Duration::from_millis(20);
 
 /// Number of tasks that wait at an entry.
@@ -66,7 +67,8 @@
         self.turns.values().filter_map(|t| t.reserved_until).min()
     }
 
-    /// Returns the free resources that each entry may use, in the order of `demands`.
+    /// Returns the free resources that each entry may use, in the order of `demands`. All entries
+    /// see the whole capacity if at most one waits.
     pub fn share(
         &mut self,
         now: Now,
@@ -110,7 +112,8 @@
         turns.filter(|t| t.reserved_until.is_some()).count() as u64
     }
 
-    /// Reserves up to `slots` slots, and revokes reservations above that number.
+    /// Drops expired reservations, then adds or revokes some until there are `slots` of them. There
+    /// are fewer if too few entries wait.
     fn reserve_slots(&mut self, now: Now, slots: u64, demands: &[Demand]) {
         for turn in self.turns.values_mut() {
             turn.reserved_until = turn.reserved_until.filter(|until| *until > now);
--- a/lib/src/entry_directory.rs
+++ b/lib/src/entry_directory.rs
@@ -1,8 +1,11 @@
 //! State that an entry shares with the other entries: the configuration in force, the evacuated
 //! halls, the addresses of entries and the batches that are being closed.
 //!
-//! In a large fleet an entry links to only a few others, its neighbours, and each forwards news to
-//! its own neighbours. An entry's traffic therefore does not grow with the fleet.
+//! Entries that are linked are neighbours. In a large fleet an entry has only a few, and each
+//! forwards news to its own neighbours. An entry's traffic therefore does not grow with the fleet.
+//!
+//! The store is the platform's service that holds the operators' records: the configuration and the
+//! evacuations. It also registers the entries' addresses.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -21,8 +24,7 @@
 use crate::run::BatchId;
 use crate::run_message::{ClosingBatch, Packet, PeerIntro, PeerNews, PeerPacket};
 
-/// Number of entries to which an entry of a large fleet links; on average as many link to it. If
-/// half of the entries fail, nearly every other entry still has a neighbour.
+/// Number of entries to which an entry of a large fleet links. On average as many link to it.
 const NEIGHBOUR_COUNT: usize = 6;
 /// Maximum number of newly learnt addresses that one log line lists.
 const MAX_LOGGED_ADDRESSES: usize = 8;
@@ -41,7 +43,7 @@
 /// Source of an entry's address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// The settings or the registry.
+    /// The settings or the platform's registry of entries.
     Platform,
     /// The entry behind a link.
     Entry(SessionId),
@@ -117,7 +119,8 @@
         self.peers.known_count() > FULL_MESH_LIMIT
     }
 
-    /// Number of entries that give work to the same target, including this one.
+    /// Number of entries that give work to the same target, including this one. In a large fleet,
+    /// the number of links that an agent keeps.
     pub fn entries_a_target(&self) -> usize {
         if self.is_large_fleet() {
             PREFERRED_COUNT
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Sends the hello on a link that this entry dialled.
+    /// Records a link that this entry dialled, and sends the hello on it.
     pub fn greet(&mut self, now: Now, link: SessionId, address: SocketAddr) {
         self.neighbours.link_up(now, address, link);
         let hello = PeerNews::Hello(self.intro());
@@ -254,7 +257,8 @@
                 intro.name, intro.life, intro.config
             ),
         );
-        // Both sides send a hello; only the first on a link is answered.
+        // Each side answers the first hello that it receives on a link. The dialler thus sends a
+        // second one.
         if self.peers.join(now, link, intro) {
             let hello = PeerNews::Hello(self.intro());
             self.peers.tell(now, link, hello);
@@ -295,8 +299,8 @@
         }
     }
 
-    /// Tells a new neighbour of all batches that are being closed. It may have missed those
-    /// notices, for instance when connections of callers and between entries were reset together.
+    /// Tells a new neighbour of all batches that are being closed. The neighbour may have missed
+    /// the notices while it had no link.
     fn send_closing_notices(&mut self, now: Now, link: SessionId) {
         let here = self.own_closings.iter().map(|id| self.closing_notice(*id));
         let closing: Vec<ClosingBatch> = here.chain(self.peer_closings.open(now)).collect();
@@ -324,9 +328,10 @@
 
     /// Adds addresses of entries, forwards the new ones to the neighbours and returns them.
     ///
-    /// In a small fleet every two entries share one link. If they learn of each other, the one with
-    /// the lower address dials. Addresses from the platform are always dialled, because no other
-    /// entry may know of this one yet.
+    /// In a small fleet all entries are linked. Of two that learn of each other from entries'
+    /// packets, the one with the lower address dials. Addresses from the platform are always
+    /// dialled, because no other entry may know of this one yet; two entries may then have two
+    /// links.
     pub fn learn(
         &mut self,
         now: Now,
@@ -381,8 +386,8 @@
         self.offer_evacuations(now, state, "store")
     }
 
-    /// Applies evacuations if they are newer, and forwards them if the halls changed. Returns
-    /// whether they changed.
+    /// Applies a newer state of the evacuations. If the evacuated halls differ, forwards it and
+    /// returns true.
     fn offer_evacuations(&mut self, now: Now, state: &Arc<EvacuatedHalls>, from: &str) -> bool {
         if self.evacuations.offer(state) != Offered::Changed {
             return false;
@@ -403,7 +408,8 @@
         self.peers.tell_all(now, &news);
     }
 
-    /// Records that a batch is no longer being closed because its caller came back.
+    /// Forgets that this entry was closing a batch, because its caller came back. The other entries
+    /// are not told; they stop waiting when the notice expires.
     pub fn reopened(&mut self, id: BatchId) {
         self.own_closings.remove(&id);
     }
--- a/lib/src/link_load.rs
+++ b/lib/src/link_load.rs
@@ -1,35 +1,33 @@
-//! Models the load of an entry's outgoing network link and the cost of sending more.
+//! Models the load of an entry's outgoing network link and the price of sending more.
 //!
-//! Payloads can fill a narrow link and delay the starts behind them, and every target of a batch
-//! needs its own copy of the payload. The backlog is computed from the link's configured rate and
-//! the bytes sent so far.
+//! Every target of a batch gets its own copy of the payload. On a narrow link these copies delay
+//! the starts behind them. The backlog is computed from the link's configured rate and the bytes
+//! sent so far.
 
 use std::time::Duration;
 
 use crate::ids::Now;
 
-/// Time constant of the average usage: longer than the packets of one batch, shorter than a burst
-/// of batches.
+/// Time constant of the average usage.
 const USAGE_TIME_CONSTANT: Duration = Duration::from_millis(500);
-/// Share of the link that always counts as free. It bounds the price of sending.
+/// Smallest share of the link that counts as unused, so that the price of sending stays finite.
 const MIN_FREE_SHARE: f64 = 0.1;
 
-/// Backlog above which no more tasks are placed. Tasks that wait at the entry keep the order of
-/// their due times, and answers and stops overtake them; an order that was sent waits behind all
-/// packets sent before.
+/// Backlog above which no more tasks are placed. Tasks that wait at the entry can be overtaken by
+/// more urgent ones and by answers and stops; orders that were sent can't.
 const MAX_BACKLOG: Duration = Duration::from_millis(6);
 
-/// Capacity of a link, in bytes per second.
+/// Rate of a link, in bytes per second.
 pub type ByteRate = f64;
 
 /// Backlog and average usage of one link.
 #[derive(Debug)]
 pub struct LinkLoad {
-    /// `None` if the rate is not known; sending is then free.
+    /// `None` if the rate is not known; sending then costs nothing.
     rate: Option<ByteRate>,
     /// When the link will have transmitted all bytes sent so far.
     busy_until: Now,
-    /// Average share of the link in use, as of `averaged_at`.
+    /// Average traffic offered to the link, as a multiple of its rate, as of `averaged_at`.
     usage: f64,
     averaged_at: Now,
 }
@@ -80,7 +78,7 @@
     /// Total delay that sending `bytes` causes: their transmission time and, on a busy link, the
     /// time that other packets wait for them.
     pub fn price(&self, now: Now, bytes: usize) -> Duration {
-        let free = (1.0 - self.usage(now)).max(MIN_FREE_SHARE);
-        self.transmission_time(bytes).div_f64(free)
+        let unused = (1.0 - self.usage(now)).max(MIN_FREE_SHARE);
+        self.transmission_time(bytes).div_f64(unused)
     }
 }
--- a/lib/src/peer_table.rs
+++ b/lib/src/peer_table.rs
@@ -12,12 +12,11 @@
 
 /// Interval of heartbeats on an idle link between entries.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
-/// How long an entry collects its own news before it sends them. Most closing batches end within
-/// this time, and their notices are then dropped unsent.
+/// How long an entry collects news that are not urgent before it sends them. If a closing batch is
+/// closed within this time, its notices are dropped unsent.
 const NEWS_DELAY: Duration = Duration::from_millis(60);
-/// How long an entry collects notices of closing batches before it forwards them. A caller whose
-/// connection broke retries after 500 ms at the earliest, the minimum in the settings, and every
-/// entry must know of its batch by then.
+/// How long an entry collects notices of closing batches before it forwards them. Every entry must
+/// know of a batch before its caller retries.
 const FORWARDED_NOTICE_DELAY: Duration = Duration::from_millis(10);
 /// Time without a packet after which a link between entries is closed.
 const LINK_TIMEOUT: Duration = Duration::from_millis(3_000);
@@ -111,7 +110,7 @@
         self.links.remove(&link)
     }
 
-    /// Number of linked entries.
+    /// Number of linked entries; one with two links counts once.
     pub fn linked(&self) -> usize {
         let names: BTreeSet<&NodeName> = self.links.values().map(|p| &p.name).collect();
         names.len()
@@ -145,14 +144,14 @@
         }
     }
 
-    /// Adds news of this entry for every neighbour, collected with other news.
+    /// Adds news of this entry for every neighbour; other news may be collected with them.
     pub fn tell_all(&mut self, now: Now, news: &PeerNews) {
         for peer in self.links.values_mut() {
             peer.add(now, news.clone(), NEWS_DELAY);
         }
     }
 
-    /// Forwards news of one neighbour to all others.
+    /// Adds news of one neighbour for all others.
     pub fn forward(&mut self, now: Now, from: SessionId, news: &PeerNews) {
         let delay = match news {
             PeerNews::Closing(_) | PeerNews::Closed(_) => FORWARDED_NOTICE_DELAY,
@@ -166,8 +165,7 @@
     }
 
     /// Announces a configuration at once to every neighbour that may not hold it. Only the version
-    /// is sent: all entries learn of a change from the store at the same time, and sending whole
-    /// tables to each other would fill their links.
+    /// is sent, because most neighbours learn of the change from the store too.
     pub fn tell_config(&mut self, now: Now, version: ConfigVersion) {
         for peer in self.links.values_mut() {
             if peer.config < version {
@@ -188,8 +186,8 @@
         }
     }
 
-    /// Tells every neighbour that a batch is closed. If its closing notice to a neighbour is still
-    /// unsent, that notice is dropped instead.
+    /// Tells every neighbour but `from` that a batch is closed. If its closing notice to a
+    /// neighbour is still unsent, that notice is dropped instead.
     pub fn tell_closed(&mut self, now: Now, closing: ClosingBatch, from: Option<SessionId>) {
         for (link, peer) in &mut self.links {
             if Some(*link) == from {
--- a/lib/src/preferred_entries.rs
+++ b/lib/src/preferred_entries.rs
@@ -16,19 +16,18 @@
 
 use crate::ids::{Now, SessionId};
 
-/// Largest number of known entries with which every process links to all entries.
+/// Largest number of known entries at which a process still links to all of them.
 pub const FULL_MESH_LIMIT: usize = 12;
-/// Number of links that an agent keeps in a larger fleet. If half of the entries fail, nearly every
-/// target still has one.
+/// Number of links that an agent keeps in a larger fleet.
 pub const PREFERRED_COUNT: usize = 12;
 /// How long a preferred entry that lost its link may take to return before another entry replaces
-/// it. A restarted process is back within this time.
+/// it.
 const RECONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// How long a dialled address may take to answer before it counts as missing.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Pause before a missing address is dialled again.
 const RETRY_PAUSE: Duration = Duration::from_millis(1_000);
-/// Pause before an address is dialled again that has been missing for [`LONG_GONE`].
+/// Pause before an address without a link for [`LONG_GONE`] is dialled again.
 const LONG_GONE_RETRY_PAUSE: Duration = Duration::from_secs(3);
 /// Time without a link after which an address is dialled less often.
 const LONG_GONE: Duration = Duration::from_secs(10);
--- a/lib/src/resources.rs
+++ b/lib/src/resources.rs
@@ -11,7 +11,7 @@
     /// Memory, in MiB.
     #[serde(rename = "m")]
     pub memory_mib: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     #[serde(rename = "a")]
     pub accelerators: u64,
 }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns how many times this fits in `capacity`; `u64::MAX` if this is empty.
+    /// Returns how many times this fits in `capacity`; `u64::MAX` if all its amounts are 0.
     pub fn times_in(self, capacity: Self) -> u64 {
         let kinds = [
             (self.cpu_millis, capacity.cpu_millis),
--- a/lib/src/ring.rs
+++ b/lib/src/ring.rs
@@ -1,7 +1,7 @@
 //! Bounded single-producer, single-consumer rings between threads.
 //!
-//! A full ring never drops items silently: [`RingTx::push`] returns the item, and the caller
-//! refuses the request, closes the session or retries.
+//! A full ring doesn't drop items: [`RingTx::push`] returns the item, and the caller decides what
+//! to do with it.
 
 use std::sync::Arc;
 use std::thread::Thread;
@@ -11,7 +11,7 @@
 
 /// Wakes a consumer.
 pub trait Wake: Send + Sync {
-    /// Called after each push, and when the producer is dropped.
+    /// Called after each attempt to push, and when the producer is dropped.
     fn wake(&self);
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl<T> RingTx<T> {
-    /// Adds an item and wakes the consumer. Returns the item if the ring is full.
+    /// Adds an item, or returns it if the ring is full. Wakes the consumer in both cases.
     pub fn push(&mut self, item: T) -> Result<(), T> {
         let Some(producer) = &mut self.producer else {
             return Err(item);
--- a/lib/src/run_message.rs
+++ b/lib/src/run_message.rs
@@ -1,8 +1,8 @@
-//! Messages between entries and agents, and between entries, for batches on the platform.
+//! Messages between entries and agents, and between entries; docs/design/platform.md explains them.
 //!
 //! A link is one WebSocket connection, and a packet is one message on it. Packets of one link
-//! arrive whole and in order until the link breaks. After a reconnect [`Order::Welcome`] resolves
-//! what was lost: it lists every run that the entry still waits for.
+//! arrive whole and in order until the link breaks. After a reconnect [`Order::Welcome`] lists
+//! every run that the entry still waits for, and the agent reports the end of those that are over.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -38,7 +38,7 @@
 /// Overhead of a packet in bytes: the headers of WebSocket, TCP and IP, and the fields that every
 /// packet has.
 const PACKET_OVERHEAD_BYTES: usize = 70;
-/// Approximate size of an order or a piece of news without its variable content, in bytes.
+/// Approximate size of an order, a piece of news or an item of their lists, in bytes.
 const SMALL_ITEM_BYTES: usize = 40;
 /// Approximate size of a start order without its payload, including its packet, in bytes.
 pub const START_BYTES: usize = 170;
@@ -46,7 +46,8 @@
 const QUEUE_BYTES: usize = 180;
 
 impl Packet {
-    /// Approximate size on a link without the start orders, in bytes.
+    /// Approximate size on a link without the start orders, in bytes. Some lists of entries and
+    /// halls count as one item.
     pub fn rough_bytes(&self) -> usize {
         let content = match self {
             Self::FromAgent(packet) => packet.news.len() * SMALL_ITEM_BYTES,
@@ -100,7 +101,7 @@
     /// A run has ended.
     #[serde(rename = "E")]
     Ended {
-        /// The run.
+        /// Run that has ended.
         #[serde(rename = "k")]
         key: RunKey,
         /// How it ended.
@@ -113,7 +114,7 @@
     /// A start order led to no run.
     #[serde(rename = "X")]
     NotStarted {
-        /// The run.
+        /// Run that was ordered.
         #[serde(rename = "k")]
         key: RunKey,
         /// Why it was not started.
@@ -123,7 +124,7 @@
     /// A run is far slower than its estimate.
     #[serde(rename = "S")]
     Slow {
-        /// The run.
+        /// Run that is slow.
         #[serde(rename = "k")]
         key: RunKey,
         /// How long it has run, in milliseconds.
@@ -151,7 +152,7 @@
     pub hall: HallName,
 }
 
-/// One incarnation of a target.
+/// What a target reports about itself and its incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetInfo {
     /// Identity of the incarnation.
@@ -172,8 +173,8 @@
     /// When the entry's lease on its runs lapses, on the agent's clock; the agent then stops them.
     #[serde(rename = "l")]
     pub lease_until: AgentMillis,
-    /// When the store last answered the entry, on the agent's clock. Everything that the entry had
-    /// learnt from the store by then was sent on this link.
+    /// When the platform's store last answered the entry, on the agent's clock. The entry has sent
+    /// the agent everything that it had learnt from the store by then.
     #[serde(rename = "k", default)]
     pub store_heard: AgentMillis,
     /// Number of tasks that wait at the entry for free resources.
@@ -248,10 +249,10 @@
 /// Tasks of one step to start on one target.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StartOrder {
-    /// The batch.
+    /// Id of the batch.
     #[serde(rename = "b")]
     pub batch: BatchId,
-    /// The step.
+    /// Index of the step in the batch.
     #[serde(rename = "s")]
     pub step: u16,
     /// The service whose targets may run the tasks.
@@ -269,7 +270,8 @@
     /// Latest time for a start, on the agent's clock.
     #[serde(rename = "u")]
     pub start_by: AgentMillis,
-    /// Whether the task must run alone on the target because it is suspected of crashing targets.
+    /// Whether the order's only task must run alone on the target, because it is suspected of
+    /// crashing targets.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub alone: bool,
     /// Position of each task in the step, with the number of its run.
@@ -284,6 +286,7 @@
         self.runs.iter().map(move |&(index, run)| {
             let task = TaskKey {
                 batch,
+                // Batches are not repeated.
                 time: 0,
                 step,
                 index,
@@ -348,9 +351,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "(u64, u64)", from = "(u64, u64)")]
 pub struct ClosingBatch {
-    /// The batch.
+    /// Id of the batch.
     pub batch: BatchId,
-    /// Incarnation of the entry.
+    /// Incarnation of the entry that closes it.
     pub entry: Incarnation,
 }
 
--- a/lib/src/target_registry.rs
+++ b/lib/src/target_registry.rs
@@ -3,6 +3,10 @@
 //! A target's free capacity is the agent's last load report minus the starts sent since. Orders of
 //! other entries show only in the agent's next packet. An order may therefore exceed the capacity;
 //! the agent then refuses it and the entry places the task again.
+//!
+//! A task goes to the target with the lowest cost: the expected run time there, as a multiple of
+//! the task's estimate, plus extra costs in the same unit. An ejected target fails too often or is
+//! far slower than the fastest one. It gets only probes: single starts that test it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -18,44 +22,40 @@
 use crate::run_message::{AgentMillis, TargetInfo};
 use crate::target_health::{HealthReport, MAX_SLOWDOWN_RATIO};
 
-/// An agent that has been silent for this long (2.5 heartbeats) gets no work.
+/// An agent that has been silent for this long gets no work. Exceeds two heartbeat intervals.
 const AGENT_SILENCE_LIMIT: Duration = Duration::from_millis(650);
-/// Time between two probes of an ejected target by one entry. Probes follow a timer and not
-/// results, because a probe may be stopped before it yields a result.
+/// Shortest time between two probes of an ejected target by one entry.
 const PROBE_INTERVAL: Duration = Duration::from_millis(600);
-/// Minimum average time between two probes of an ejected target by all entries together. All
-/// entries learn from each probe, and a probe may delay a batch.
+/// Minimum average time between two probes of an ejected target by all entries together.
 const PROBE_SPACING: Duration = Duration::from_millis(150);
-/// How long a target gets no work after it refused a start as unhealthy.
+/// How long a target gets no work after its agent reported it as unhealthy or unreachable.
 const UNHEALTHY_PAUSE: Duration = Duration::from_millis(250);
-/// How long a target gets no work after it left a call unanswered. Its agent calls it again at
-/// once and knows its state within a few milliseconds.
+/// How long a target gets no work after it left a call unanswered. Its agent calls it again
+/// meanwhile.
 const DOUBTFUL_PAUSE: Duration = Duration::from_millis(15);
-/// Extra cost of a full target over an empty one, as a share of the run time. It spreads a batch:
-/// agents execute orders one by one, and one bad target then affects fewer tasks.
+/// Extra cost of a full target over an empty one, as a share of the run time. Spreads a batch over
+/// several targets.
 const UTILIZATION_COST: f64 = 0.35;
 /// Extra cost of a target that the task would nearly fill. Another entry may have filled it
 /// meanwhile, and a refused order costs time.
 const NEARLY_FULL_COST: f64 = 0.15;
 /// Free share of a target's capacity below which it counts as nearly full.
 const NEARLY_FULL_SHARE: f64 = 0.1;
-/// Extra cost per start that the agent has not confirmed yet: the time that an agent needs for an
-/// order, as a share of a short task's run time.
+/// Extra cost per start that the agent has not confirmed yet, for the time that the agent needs for
+/// an order.
 const UNCONFIRMED_START_COST: f64 = 0.05;
 /// Upper bound of the random cost that is added for a load report of age [`STALE_AFTER`] or more.
-/// Other entries got the same report and may have sent work there since; the randomness keeps
-/// entries from all choosing the same target.
+/// Keeps entries from all choosing the same target.
 const MAX_STALENESS_COST: f64 = 0.7;
 /// Age at which a load report counts as fully stale.
 const STALE_AFTER: Duration = Duration::from_millis(200);
-/// Extra cost of a target in another data hall: the network round trip, as a share of a short
-/// task's run time.
+/// Extra cost of a target in another data hall, for the network round trip.
 const OTHER_HALL_COST: f64 = 0.02;
 
 /// One target, as known from its agent's link.
 #[derive(Debug)]
 pub struct TargetView {
-    /// Name of the agent's VM.
+    /// Name of the agent's process, as in its settings.
     pub agent: NodeName,
     /// Data hall of the VM.
     pub hall: HallName,
@@ -69,11 +69,16 @@
     pub heard: Now,
     /// When a packet was last sent to the agent.
     pub sent: Now,
+    /// The agent's clock in its last packet.
     clock: AgentMillis,
+    /// Free resources in the agent's last packet.
     free: Resources,
+    /// Number of starts sent on this link.
     starts_sent: u64,
-    unconfirmed: VecDeque<Resources>,
+    /// Sizes of the starts that the agent has not confirmed yet, oldest first.
+    unconfirmed_starts: VecDeque<Resources>,
     health: HealthReport,
+    /// When the target may get work again after a start was refused.
     paused_until: Now,
     /// When the target may get its next probe if it is ejected.
     probe_at: Now,
@@ -82,7 +87,7 @@
 /// Load and health of a target, as reported in every packet of its agent.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadReport {
-    /// The agent's clock.
+    /// The agent's clock when it sent the report.
     pub clock: AgentMillis,
     /// Free resources that this entry may use.
     pub free: Resources,
@@ -103,11 +108,12 @@
     pub required_label: Option<&'a str>,
     /// Rack in which the task runs faster.
     pub preferred_rack: Option<&'a str>,
-    /// Agent to avoid because the task has just run badly there.
+    /// Agent whose target costs more, because an earlier run of the task failed, crashed or was
+    /// stopped there.
     pub avoid: Option<&'a str>,
     /// Links on which the batch's payload was already sent.
     pub payload_sent_to: &'a BTreeSet<SessionId>,
-    /// Cost of sending the payload on another link, as a share of the run time.
+    /// Cost of sending the payload on another link, as a multiple of the task's estimate.
     pub payload_cost: f64,
     /// Whether the target must be idle.
     pub is_idle: bool,
@@ -129,7 +135,7 @@
             clock: 0,
             free: Resources::NONE,
             starts_sent: 0,
-            unconfirmed: VecDeque::new(),
+            unconfirmed_starts: VecDeque::new(),
             health: HealthReport::default(),
             paused_until: Now::ZERO,
             probe_at: Now::ZERO,
@@ -138,7 +144,7 @@
 
     /// The reported free capacity minus the starts that the agent has not confirmed yet.
     fn free_capacity(&self) -> Resources {
-        let unconfirmed = self.unconfirmed.iter();
+        let unconfirmed = self.unconfirmed_starts.iter();
         unconfirmed.fold(self.free, |free, size| free.minus(*size))
     }
 
@@ -169,7 +175,7 @@
         !self.is_evacuated && self.may_get_work_ignoring_evacuation(now)
     }
 
-    /// Whether the target may get work, apart from evacuations.
+    /// Whether the target may get work or is kept from it only by an evacuation.
     fn may_get_work_ignoring_evacuation(&self, now: Now) -> bool {
         self.is_available(now) && self.paused_until <= now
     }
@@ -193,7 +199,7 @@
         if used > 1.0 - NEARLY_FULL_SHARE {
             cost += NEARLY_FULL_COST;
         }
-        cost += UNCONFIRMED_START_COST * self.unconfirmed.len() as f64;
+        cost += UNCONFIRMED_START_COST * self.unconfirmed_starts.len() as f64;
         if self.hall != *hall {
             cost += OTHER_HALL_COST;
         }
@@ -210,12 +216,12 @@
     }
 }
 
-/// Why a target refused a start.
+/// Why a start was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartRefusal {
-    /// It is unhealthy or does not answer.
+    /// The agent reported the target as unhealthy or unreachable.
     Unhealthy,
-    /// It has just left another call unanswered.
+    /// The target has just left another call unanswered.
     Doubtful,
 }
 
@@ -226,7 +232,7 @@
     Unchanged,
     /// The target is ejected: its runs fail too often.
     Ejected,
-    /// The target may get work again.
+    /// The target's runs no longer fail too often.
     Readmitted,
 }
 
@@ -234,7 +240,7 @@
 #[derive(Debug)]
 pub struct TargetRegistry {
     views: BTreeMap<SessionId, TargetView>,
-    /// Time between two probes of an ejected target by this entry.
+    /// [`PROBE_INTERVAL`], or longer if many entries share a target.
     probe_interval: Duration,
     evacuated: Arc<EvacuatedHalls>,
 }
@@ -257,7 +263,7 @@
         self.views.insert(link, view);
     }
 
-    /// Sets the evacuated halls.
+    /// Applies a change of the evacuated halls to all targets.
     pub fn note_evacuations(&mut self, evacuated: &Arc<EvacuatedHalls>) {
         self.evacuated = evacuated.clone();
         for view in self.views.values_mut() {
@@ -281,7 +287,7 @@
         self.views.remove(&link)
     }
 
-    /// The target behind a link, mutable.
+    /// The target behind a link, to be modified.
     pub fn get_mut(&mut self, link: SessionId) -> Option<&mut TargetView> {
         self.views.get_mut(&link)
     }
@@ -307,7 +313,7 @@
         self.views.values().filter(|v| v.may_get_work(now)).count()
     }
 
-    /// Number of targets that may get work, apart from evacuations.
+    /// Number of targets that may get work or are kept from it only by evacuations.
     pub fn reachable(&self, now: Now) -> usize {
         let views = self.views.values();
         views
@@ -321,8 +327,8 @@
         silent.map(|(link, _)| *link).collect()
     }
 
-    /// Applies the load report of an agent's packet and returns whether its target was ejected or
-    /// readmitted.
+    /// Applies the load report of an agent's packet. Returns whether its target was ejected for its
+    /// failures or readmitted.
     pub fn heard(&mut self, now: Now, link: SessionId, report: LoadReport) -> EjectionChange {
         let LoadReport {
             clock,
@@ -337,8 +343,8 @@
         view.clock = clock;
         view.free = free;
         let still_unconfirmed = view.starts_sent.saturating_sub(starts_seen) as usize;
-        while view.unconfirmed.len() > still_unconfirmed {
-            view.unconfirmed.pop_front();
+        while view.unconfirmed_starts.len() > still_unconfirmed {
+            view.unconfirmed_starts.pop_front();
         }
         let was_ejected = view.health.fails_too_often();
         view.health = health;
@@ -352,12 +358,14 @@
         }
     }
 
-    /// Counts a start that was sent to a target.
+    /// Counts a start that was sent to a target. If the target is ejected, the start is a probe,
+    /// and the time of the next one does not depend on its result: a probe may be stopped without
+    /// one.
     pub fn sent_start(&mut self, now: Now, link: SessionId, size: Resources) {
         let least_slowdown = self.least_slowdown(now);
         if let Some(view) = self.views.get_mut(&link) {
             view.starts_sent += 1;
-            view.unconfirmed.push_back(size);
+            view.unconfirmed_starts.push_back(size);
             if view.is_ejected(least_slowdown) {
                 view.probe_at = now + self.probe_interval;
             }
@@ -375,7 +383,7 @@
         now: Now,
         need: &Need<'_>,
         hall: &HallName,
-        is_full: impl Fn(&TargetView) -> bool,
+        is_excluded: impl Fn(&TargetView) -> bool,
         rng: &mut ChaCha8Rng,
     ) -> Option<SessionId> {
         let mut best: Option<(f64, SessionId)> = None;
@@ -384,7 +392,7 @@
             let is_open = view.may_get_work(now)
                 && view.can_run(need)
                 && need.size.fits_in(view.free_capacity())
-                && !is_full(view);
+                && !is_excluded(view);
             if !is_open || (view.is_ejected(least_slowdown) && view.probe_at > now) {
                 continue;
             }
@@ -402,8 +410,9 @@
         best.map(|(_, link)| link)
     }
 
-    /// The slowdown of the fastest target that may get work. Evacuated targets are left out:
-    /// compared with an idle one, all others might count as too slow and get only probes.
+    /// The slowdown of the fastest available target, paused ones included. Evacuated targets are
+    /// left out: compared with one that is idle, all others might count as too slow and get only
+    /// probes.
     fn least_slowdown(&self, now: Now) -> f64 {
         let compared = |v: &&TargetView| !v.is_evacuated && v.is_available(now);
         let slowdowns = self
@@ -414,7 +423,7 @@
         slowdowns.fold(f64::MAX, f64::min)
     }
 
-    /// Gives a target no work for a while after it refused a start.
+    /// Gives a target no work for a while after a start was refused.
     pub fn refused(&mut self, now: Now, link: SessionId, why: StartRefusal) {
         if let Some(view) = self.views.get_mut(&link) {
             let pause = match why {
--- a/lib/src/vm_list.rs
+++ b/lib/src/vm_list.rs
@@ -7,18 +7,18 @@
 /// A VM in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmRecord {
-    /// Name of the process on the VM, as in its settings.
+    /// Name of the entry or agent on the VM, as in that process's settings.
     pub name: Arc<str>,
-    /// Role of the VM.
+    /// What runs on the VM.
     pub role: VmRole,
-    /// State of the VM.
+    /// Whether the VM is about to be stopped.
     pub state: VmState,
     /// Address that agents connect to; set only for entries.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub agent_address: Option<String>,
 }
 
-/// Role of a VM.
+/// What runs on a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmRole {
@@ -28,7 +28,7 @@
     Target,
 }
 
-/// State of a VM.
+/// Whether a VM is about to be stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
--- a/lib/src/wait_forecast.rs
+++ b/lib/src/wait_forecast.rs
@@ -1,9 +1,9 @@
 //! Forecasts how long a batch will wait for capacity, from the recent placement rate.
 //!
-//! Under a lasting overload, batches would wait until their last useful moment only to be refused,
-//! and the tasks placed meanwhile would start late. The forecast lets an entry refuse such batches
-//! at once. It is the number of tasks ahead of a batch, divided by the rate at which this entry has
-//! placed tasks, which reflects the load of the other entries too.
+//! Under a lasting overload, a batch may wait for as long as is useful and then be refused. The
+//! forecast lets an entry refuse such batches at once. It is the number of the batch's tasks and of
+//! those ahead, divided by the rate at which this entry has placed tasks. That rate reflects the
+//! load of the other entries too.
 //!
 //! A forecast needs a backlog that lasted for the whole window. During a shorter one, the rate
 //! measures the demand and not the capacity.
@@ -13,21 +13,20 @@
 
 use crate::ids::Now;
 
-/// Time over which placed tasks are counted: long enough to see starts at a small entry, short
-/// enough to exclude the time before a burst.
+/// Time over which placed tasks are counted, and for which a backlog must have lasted.
 pub const WINDOW: Duration = Duration::from_millis(250);
-/// Forecast wait while no task is placed.
+/// Forecast wait if no task was placed within the window.
 const WAIT_WITHOUT_STARTS: Duration = Duration::from_secs(1);
-/// Shortest and longest retry time given to callers, before jitter. An earlier retry would find the
-/// same backlog, and a later one would rely on a forecast that no longer holds.
+/// Shortest and longest retry time given to callers, before jitter.
 const RETRY_BOUNDS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
-/// Jitter as a share of the retry time. It keeps callers refused together from retrying together.
+/// Largest jitter, as a share of the retry time. It keeps callers refused together from retrying
+/// together.
 const RETRY_JITTER: f64 = 1.0;
 
 /// Recent placements and the start of the current backlog.
 #[derive(Debug, Default)]
 pub struct WaitForecast {
-    /// Number of tasks placed at each time.
+    /// Number of tasks placed at each time in the window, oldest first.
     placed: VecDeque<(Now, u32)>,
     placed_in_window: u32,
     /// Time since which batches have been waiting without a break.
--- a/lib/src/worker_threads.rs
+++ b/lib/src/worker_threads.rs
@@ -1,4 +1,6 @@
 //! Threads, rings and HTTP servers shared by the entry and agent daemons.
+//!
+//! A core is the state machine of an entry or agent; it runs on a thread of its own.
 
 use std::io;
 use std::net::TcpListener;
@@ -17,11 +19,11 @@
 use crate::ring::{RingRx, RingTx, ThreadWaker, Wake, ring};
 use crate::telemetry::{MetricsPage, Report};
 
-/// Capacity of a ring to a core.
+/// Capacity of a ring to a core, in items.
 pub const CORE_RING: usize = 8_192;
-/// Capacity of a ring from a core.
+/// Capacity of a ring from a core, in items.
 pub const OUT_RING: usize = 16_384;
-/// Capacity of a ring to the telemetry thread.
+/// Capacity of a ring to the telemetry thread, in items.
 pub const REPORT_RING: usize = 4_096;
 /// How long a server that shuts down waits for open connections.
 const SERVER_SHUTDOWN_TIMEOUT: Seconds = Seconds(5);
@@ -88,21 +90,22 @@
 
 /// Parameters of an HTTP server of an entry.
 pub struct ServerPlan {
-    /// Bound listener.
+    /// Listener, already bound to its address.
     pub listener: TcpListener,
-    /// Routes to serve.
+    /// Whether it serves callers or operators.
     pub routes: Routes,
-    /// Number of workers. The pool must hold rings for each of them.
+    /// Number of worker threads. The pool must hold rings for each of them.
     pub workers: usize,
-    /// Rings for the workers.
+    /// Rings between the workers and the core.
     pub pool: RingPool,
     /// Largest request body, in bytes.
     pub body_limit: usize,
-    /// Metrics page.
+    /// Source of the metrics that it serves.
     pub page: MetricsPage,
 }
 
-/// Runs the servers until `end` resolves. A dropped sender closes open connections at once.
+/// Runs the servers until `end` resolves. If the sender of `end` is dropped, open connections are
+/// closed at once.
 pub async fn serve(plans: Vec<ServerPlan>, end: oneshot::Receiver<ServerEnd>) -> io::Result<()> {
     let mut servers = Vec::new();
     for plan in plans {
@@ -145,7 +148,8 @@
     Ok(server)
 }
 
-/// Serves an agent's metrics until `end` resolves.
+/// Serves an agent's metrics until `end` resolves, with any value; open connections are then
+/// closed.
 pub async fn serve_metrics(
     listener: TcpListener,
     page: MetricsPage,
@@ -166,7 +170,8 @@
 pub type Factory<T> = Box<dyn FnOnce() -> LocalBoxFuture<'static, T> + Send>;
 
 /// A thread that consumes rings. The rings' wakers need the thread's handle, so the thread starts
-/// first and waits for its rings before it does any work.
+/// first and waits for its rings before it does any work. `P` is whatever else the work needs and
+/// is not known at the start.
 pub struct RingThread<T, P> {
     thread: JoinHandle<()>,
     capacity: usize,
@@ -180,8 +185,8 @@
 }
 
 impl<T: Send + 'static, P: Send + 'static> RingThread<T, P> {
-    /// Spawns a thread that waits for [`Self::begin`] and then runs `work` with its rings and the
-    /// parts.
+    /// Spawns a thread that waits for [`Self::begin`] and then runs `work` with the rings and
+    /// `parts` handed over there.
     pub fn spawn(
         name: &str,
         capacity: usize,
