--- a/lib/src/config_chain.rs
+++ b/lib/src/config_chain.rs
@@ -1,9 +1,9 @@
 //! Determines the configuration in force from the platform's log and from peers.
 //!
-//! The log is totally ordered. A change record names the configuration that it replaces, and takes
-//! effect only if that is the head at its offset. All processes that have read the log to the same
-//! offset therefore have the same head. A [`ConfigState`] is a head with the offset up to which it
-//! is exact. The version of a state never decreases.
+//! The log is totally ordered. The head is the configuration that the last effective change
+//! installed. A change names the configuration that it replaces and takes effect only if that one is
+//! the head at the offset of the change. All processes that have read the log to the same offset
+//! therefore have the same head. The version of the held state never decreases.
 
 use std::sync::Arc;
 
@@ -40,7 +40,7 @@
     pub stamp: ConfigStamp,
     /// Canonical text of the document.
     pub text: Arc<str>,
-    /// Offset below which all records are included.
+    /// All records below this offset are taken into account.
     pub read_to: LogOffset,
 }
 
@@ -59,9 +59,9 @@
         /// Author of the change, for display only.
         author: String,
     },
-    /// A copy of the head, written before retention drops the last one.
+    /// A copy of the head, written from time to time so that the log always contains one.
     Snapshot {
-        /// The head, with the offset up to which it was exact.
+        /// The state that the writer held.
         state: ConfigState,
     },
 }
@@ -123,7 +123,7 @@
     Nothing,
 }
 
-/// Follows the log and holds the newest known configuration.
+/// Follows the log and holds the newest configuration that it has read or adopted.
 #[derive(Debug, Default)]
 pub struct ConfigChain {
     held: Option<HeldConfig>,
@@ -141,7 +141,7 @@
 #[derive(Debug)]
 struct Gap {
     /// Oldest offset that could be read after the gap.
-    kept_from: LogOffset,
+    readable_from: LogOffset,
     since: Now,
 }
 
@@ -163,7 +163,8 @@
 }
 
 impl ConfigState {
-    /// Whether the stamp matches the text. Version 0 is the empty configuration and always matches.
+    /// Whether the stamp matches the text. The default stamp stands for the empty configuration and
+    /// is always valid.
     fn has_valid_stamp(&self) -> bool {
         self.stamp == ConfigStamp::default()
             || stamp_of(self.stamp.version, &self.text) == self.stamp
@@ -176,7 +177,7 @@
         self.read_from
     }
 
-    /// The newest known configuration, if any.
+    /// The held configuration, if any.
     pub fn document(&self) -> Option<&Arc<Document>> {
         self.held.as_ref().map(|h| &h.document)
     }
@@ -255,7 +256,8 @@
         let mut at = 0;
         while let Some(stored) = batch.records.get(at) {
             let adopted = self.read_record(stored, batch.from, now, &mut seen);
-            // Records between the snapshot's state and the snapshot itself have to be read again.
+            // A snapshot raised the held state. Earlier records of this batch may now follow it, so
+            // start again.
             at = if adopted == Adopted::Nothing {
                 at + 1
             } else {
@@ -276,7 +278,7 @@
             self.gap = None;
         } else if self.gap.is_none() {
             self.gap = Some(Gap {
-                kept_from: batch.from,
+                readable_from: batch.from,
                 since: now,
             });
         }
@@ -285,13 +287,13 @@
     /// Whether records have expired unread, so that a change may have been missed.
     pub fn has_gap(&self) -> bool {
         match (&self.gap, self.state()) {
-            (Some(gap), Some(state)) => state.read_to < gap.kept_from,
+            (Some(gap), Some(state)) => state.read_to < gap.readable_from,
             _ => false,
         }
     }
 
     /// Closes a gap that no peer and no snapshot has filled for `timeout`. The held state then
-    /// counts as the newest that still exists.
+    /// counts as the head, though a change may have been lost.
     pub fn close_old_gap(&mut self, now: Now, timeout: std::time::Duration) {
         let Some(gap) = &self.gap else {
             return;
@@ -300,7 +302,7 @@
             return;
         }
         if let Some(held) = &mut self.held {
-            held.state.read_to = held.state.read_to.max(gap.kept_from);
+            held.state.read_to = held.state.read_to.max(gap.readable_from);
             self.read_from = held.state.read_to;
         }
         self.gap = None;
@@ -351,7 +353,8 @@
         self.head_written_at = now;
     }
 
-    /// Applies a change if the held state is exact up to its offset. Returns none otherwise.
+    /// Applies a change to the held state. Returns none if none is held, if the state already
+    /// includes the change or if records between them are missing.
     fn read_change(
         &mut self,
         offset: LogOffset,
@@ -393,6 +396,7 @@
 
     /// Records that a snapshot was sent, which delays the next one.
     pub fn snapshot_sent(&mut self, now: Now) {
+        // The snapshot's offset is at least this one.
         self.head_offset = Some(self.read_from);
         self.head_written_at = now;
     }
--- a/lib/src/entry_leases.rs
+++ b/lib/src/entry_leases.rs
@@ -14,8 +14,8 @@
 
 /// Minimum interval between load reports to an entry with waiting tasks.
 const LOAD_INTERVAL_WAITING: Duration = Duration::from_millis(3);
-/// Minimum interval between load reports to any other entry, per link of the agent: the total rate
-/// does not grow with the number of entries.
+/// Minimum interval between load reports to any other entry. It is multiplied by the number of
+/// links, up to the heartbeat interval.
 const LOAD_INTERVAL_PER_LINK: Duration = Duration::from_millis(12);
 
 /// A link to an entry.
@@ -73,6 +73,7 @@
 pub struct EntryLeases {
     timings: Timings,
     links: BTreeMap<SessionId, EntryLink>,
+    /// When each entry's lease lapses.
     until: BTreeMap<Incarnation, Now>,
     shares: CapacityShares,
 }
@@ -128,7 +129,7 @@
     }
 
     /// When an entry's lease lapses; zero if the entry is unknown.
-    pub fn until(&self, entry: Incarnation) -> Now {
+    pub fn lease_until(&self, entry: Incarnation) -> Now {
         self.until.get(&entry).copied().unwrap_or_default()
     }
 
--- a/lib/src/evacuations.rs
+++ b/lib/src/evacuations.rs
@@ -127,8 +127,7 @@
 const USUAL_QUERY_FRACTION: f64 = 0.3;
 /// Largest fraction of the bound after which an agent queries the store.
 const MAX_QUERY_FRACTION: f64 = 0.6;
-/// Usual minimum between queries. An idle entry hears from the store every second, so agents that
-/// query more often would learn nothing new.
+/// Usual minimum between queries. Longer than an idle entry takes to hear from the store.
 const USUAL_QUERY_INTERVAL: Duration = Duration::from_millis(1_500);
 /// Minimum between queries, regardless of the bound.
 const MIN_QUERY_INTERVAL: Duration = Duration::from_millis(200);
--- a/lib/src/run.rs
+++ b/lib/src/run.rs
@@ -8,7 +8,7 @@
 
 /// A batch's id, chosen by its caller: 16 hexadecimal digits.
 pub type BatchId = u64;
-/// Number of a run of a task. A target accepts only numbers above those that it has seen.
+/// Number of a run of a task. A target accepts only higher numbers than it has seen for the task.
 pub type RunNumber = u32;
 
 /// Identifies a task of a batch.
@@ -125,9 +125,10 @@
     Failed,
     /// The agent stopped it.
     Stopped,
-    /// Its lease lapsed, or another member of its gang ended.
+    /// Its lease lapsed, or it belonged to a group of runs of which another ended.
     Lapsed,
-    /// The target's incarnation is over, or its lease must have lapsed, and no end was listed.
+    /// No end was reported. The target's incarnation is over, its lease must have lapsed or it does
+    /// not list the run.
     Lost,
     /// The target crashed while it had the run.
     Crashed {
@@ -151,9 +152,10 @@
     Superseded,
     /// The target reported that it is unhealthy.
     Unhealthy,
-    /// The start was not answered and has been fenced off.
+    /// The start was not answered, and the target will refuse it if it arrives later.
     Unanswered,
-    /// The target has left its last call unanswered, or the lease may not be renewed.
+    /// The target left the last call unanswered, or its lease must not be renewed, which a start
+    /// would do.
     Doubtful,
     /// The target does not answer, or its agent has not read its lists yet.
     Unreachable,
--- a/lib/src/run_agent.rs
+++ b/lib/src/run_agent.rs
@@ -1,9 +1,9 @@
 //! The agent's core on the platform: a deterministic state machine, `(now, event) -> actions`.
 //!
-//! The target's lists are the authority on what runs. A restarted agent adopts the runs that they
-//! show. The agent enforces the target's whole resource vector, because the target checks none of
-//! it, and stops the runs of entries whose leases have lapsed. docs/design/platform.md derives the
-//! timing bounds.
+//! The target answers renewals of its lease with lists of its running and ended runs. The lists are
+//! the authority on what runs. A restarted agent adopts the runs that they show. The agent itself
+//! makes sure that the runs fit the target's resources, and it stops the runs of entries whose
+//! leases have lapsed. docs/design/platform.md derives the timing bounds.
 
 mod evacuation;
 mod incarnations;
@@ -35,8 +35,8 @@
 use crate::target_lease::TargetLease;
 use starts::{MAX_START_TIMEOUT, MIN_START_TIMEOUT};
 
-/// Gap between two events after which the process may have been stalled, with unread answers in its
-/// sockets.
+/// If no event was handled for this long, the process may have been stalled, and answers may wait
+/// unread in its sockets.
 const STALL_THRESHOLD: Duration = Duration::from_millis(10);
 /// Time after a stall to read those answers before a call counts as unanswered.
 const STALL_GRACE: Duration = Duration::from_millis(4);
@@ -46,18 +46,18 @@
     options: AgentOptions,
     now: Now,
     actions: Vec<AgentAction>,
-    entries: EntryLeases,
+    entry_links: EntryLeases,
     incarnations: TargetIncarnations,
     lease: TargetLease,
     runs: RunTable,
     health: TargetHealth,
     /// Timeout of starts, learnt from how long the target takes to answer them.
     start_timeout: AdaptiveTimeout,
-    /// End of the last gap between events that was long enough for a stall.
+    /// When the last gap of at least [`STALL_THRESHOLD`] between events ended.
     resumed_at: Now,
-    /// Whether the lists of the target's current incarnation have been read and no connection for a
-    /// start has been refused since.
-    has_read_lists: bool,
+    /// Whether the target's runs are known. The lists of its current incarnation have then been
+    /// read, and no connection for a start has been refused since.
+    knows_runs: bool,
     /// Claims received before the lists were read.
     early_claims: Vec<(Incarnation, RunKey, Resources)>,
     /// Stops received before the lists were read, each with the incarnation of its entry.
@@ -81,14 +81,14 @@
         Self {
             now,
             actions: Vec::new(),
-            entries: EntryLeases::new(options.timings),
+            entry_links: EntryLeases::new(options.timings),
             incarnations: TargetIncarnations::default(),
             lease,
             runs: RunTable::default(),
             health: TargetHealth::default(),
             start_timeout: AdaptiveTimeout::new(MIN_START_TIMEOUT, MAX_START_TIMEOUT),
             resumed_at: now,
-            has_read_lists: false,
+            knows_runs: false,
             early_claims: Vec::new(),
             early_stops: Vec::new(),
             preferred: PreferredEntries::new(
@@ -134,7 +134,7 @@
     /// Returns when [`AgentEvent::Wake`] is due.
     pub fn next_wake(&self) -> Option<Now> {
         let mut times = vec![
-            self.entries.next_wake(),
+            self.entry_links.next_wake(),
             self.lease.retry_at(),
             self.incarnations.next_wake(),
             self.ask_evacuations_at(),
@@ -149,7 +149,7 @@
         for (_, run) in self.runs.iter() {
             times.push(Some(self.run_wake(run)));
         }
-        if !self.runs.is_empty() || !self.has_read_lists {
+        if !self.runs.is_empty() || !self.knows_runs {
             times.push(Some(self.lease.lapses_at()));
             times.push(self.renewal_overdue().map(|(at, _)| at));
         }
@@ -158,6 +158,7 @@
                 .map(|since| since + self.options.timings.agent_stop),
         );
         let earliest = times.into_iter().flatten().min()?;
+        // A time that has passed would wake the core again at once.
         Some(earliest.max(self.now + Duration::from_millis(1)))
     }
 
@@ -165,14 +166,14 @@
     pub fn levels(&self) -> AgentLevels {
         AgentLevels {
             runs: self.runs.len() as u64,
-            entries: self.entries.len() as u64,
+            entries: self.entry_links.len() as u64,
         }
     }
 
     fn run_wake(&self, run: &Run) -> Now {
         let next_check = match (&run.stopping, run.owner) {
             (Some(stopping), _) => stopping.resend_at,
-            (None, Some(owner)) => self.entries.until(owner),
+            (None, Some(owner)) => self.entry_links.lease_until(owner),
             (None, None) => run.since + self.options.timings.claim_grace,
         };
         let answer_deadline = self.answer_deadline(run);
@@ -182,10 +183,11 @@
     fn dispatch_event(&mut self, event: AgentEvent) {
         match event {
             AgentEvent::Wake => {
-                for link in self.entries.silent(self.now) {
+                for link in self.entry_links.silent(self.now) {
                     self.actions.push(AgentAction::Close(link));
                     self.link_down(link);
                 }
+                // Known addresses are never dropped, so only the first wake adds these.
                 let seeds = self.options.seeds.iter().copied();
                 self.preferred.learn(self.now, seeds);
             }
@@ -208,11 +210,11 @@
         }
     }
 
-    /// Extends the lease's lapse by the suspension: the target's clock, which measures the lease,
-    /// was stopped for that long.
+    /// Handles a suspension of the VM. The target's clock, which measures the lease, stood still
+    /// too, so the lease lapses later. If the runs are known, the lists are queried at once.
     fn resumed(&mut self, suspended: Duration) {
         self.lease.suspended(suspended);
-        if self.has_read_lists {
+        if self.knows_runs {
             let query = self.lease.at_once(self.now, false);
             self.push_renewal(query);
         }
@@ -229,18 +231,16 @@
             .push(AgentAction::Log(LogEvent::new(code, detail)));
     }
 
-    // Entries.
-
     fn link_up(&mut self, link: SessionId, address: SocketAddr) {
         self.preferred.link_up(self.now, address, link);
-        self.entries.opened(self.now, link);
+        self.entry_links.opened(self.now, link);
         let intro = AgentIntro {
             name: self.options.name.clone(),
             life: self.options.incarnation,
             hall: self.options.hall.clone(),
         };
         let target = AgentNews::Target(self.announced_target());
-        if let Some(found) = self.entries.get_mut(link) {
+        if let Some(found) = self.entry_links.get_mut(link) {
             found.news.push(AgentNews::Hello(intro));
             found.news.push(target);
             if self.draining_since.is_some() {
@@ -252,11 +252,11 @@
     fn link_down(&mut self, link: SessionId) {
         self.preferred.link_down(self.now, link);
         self.payloads.forget(link);
-        let Some(gone) = self.entries.closed(self.now, link) else {
+        let Some(gone) = self.entry_links.closed(self.now, link) else {
             return;
         };
         if let Some(name) = gone.name {
-            let left = self.entries.len();
+            let left = self.entry_links.len();
             self.log(
                 EventCode::EntryLost,
                 format!("entry={name} links_left={left}"),
@@ -265,7 +265,7 @@
     }
 
     fn discover_entries(&mut self) {
-        let is_linked = !self.entries.is_empty();
+        let is_linked = !self.entry_links.is_empty();
         if self.draining_since.is_none() && self.discovery.take_due(self.now, is_linked) {
             self.actions.push(AgentAction::AskEntries);
         }
@@ -277,22 +277,23 @@
         if self.draining_since.is_some() {
             return;
         }
-        let (entries, runs) = (&self.entries, &self.runs);
+        let (links, runs) = (&self.entry_links, &self.runs);
         let is_needed = |link| {
-            let entry = entries.get(link).and_then(|l| l.entry);
+            let entry = links.get(link).and_then(|l| l.entry);
             entry.is_some() && runs.iter().any(|(_, run)| run.owner == entry)
         };
         for step in self.preferred.steps(self.now, is_needed) {
             match step {
                 LinkStep::Dial(address) => self.actions.push(AgentAction::Dial(address)),
-                LinkStep::Drain(link) => self.drain_link(link),
+                LinkStep::Drain(link) => self.send_leaving(link),
                 LinkStep::Disconnect(address, link) => self.disconnect(address, link),
             }
         }
     }
 
-    fn drain_link(&mut self, link: SessionId) {
-        if let Some(found) = self.entries.get_mut(link) {
+    /// Asks the entry to send no more work on a link.
+    fn send_leaving(&mut self, link: SessionId) {
+        if let Some(found) = self.entry_links.get_mut(link) {
             found.news.push(AgentNews::Leaving);
         }
     }
@@ -303,9 +304,9 @@
             return;
         };
         self.actions.push(AgentAction::Close(link));
-        let gone = self.entries.closed(self.now, link);
+        let gone = self.entry_links.closed(self.now, link);
         let name = gone.and_then(|l| l.name);
-        let left = self.entries.len();
+        let left = self.entry_links.len();
         self.log(
             EventCode::EntryParted,
             format!("entry={} links_left={left}", name.as_deref().unwrap_or("-")),
@@ -317,12 +318,12 @@
             Order::Welcome(welcome) => Some((welcome.life, welcome.name.clone())),
             _ => None,
         });
-        if let (Some((entry, name)), Some(found)) = (welcome, self.entries.get_mut(link)) {
+        if let (Some((entry, name)), Some(found)) = (welcome, self.entry_links.get_mut(link)) {
             found.entry = Some(entry);
             found.name = Some(name);
         }
         let lease_until = Duration::from_millis(packet.lease_until);
-        self.entries
+        self.entry_links
             .heard(self.now, link, lease_until, packet.waiting);
         let store_heard = Duration::from_millis(packet.store_heard);
         for order in packet.orders {
@@ -354,7 +355,7 @@
         self.offer_evacuations(&evacuations, "entry");
         self.stop_unclaimed(entry, &claims);
         for (key, size) in claims {
-            if self.has_read_lists {
+            if self.knows_runs {
                 self.answer_claim(entry, key, size);
             } else {
                 self.early_claims.push((entry, key, size));
@@ -362,7 +363,7 @@
         }
     }
 
-    /// Stops the runs of an entry that its list of claims does not name.
+    /// Stops those runs of an entry that are missing from its claims.
     fn stop_unclaimed(&mut self, entry: Incarnation, claims: &[(RunKey, Resources)]) {
         let unclaimed: Vec<RunKey> = self
             .runs
@@ -381,7 +382,7 @@
             return;
         }
         let end = self.runs.end_of(key).unwrap_or(RunEnd::Lost);
-        self.entries.tell(
+        self.entry_links.tell(
             entry,
             AgentNews::Ended {
                 key,
@@ -392,11 +393,11 @@
     }
 
     fn stop_ordered(&mut self, link: SessionId, keys: Vec<RunKey>) {
-        let Some(entry) = self.entries.get(link).and_then(|l| l.entry) else {
+        let Some(entry) = self.entry_links.get(link).and_then(|l| l.entry) else {
             return;
         };
         for key in keys {
-            if self.has_read_lists || self.runs.get(key).is_some() {
+            if self.knows_runs || self.runs.get(key).is_some() {
                 self.stop_or_report_end(entry, key);
             } else {
                 // The run may have been started by an earlier incarnation of this agent and still
@@ -415,11 +416,11 @@
         let end = self.runs.end_of(key).unwrap_or(RunEnd::Lost);
         let ran_ms = 0;
         let news = AgentNews::Ended { key, end, ran_ms };
-        self.entries.tell(entry, news);
+        self.entry_links.tell(entry, news);
     }
 
-    /// Requests that a run be stopped. The stop of a run that was orphaned at `orphaned_since` must
-    /// succeed within the stop bound.
+    /// Requests that a run be stopped. A run is orphaned if its owner's lease has lapsed. If it then
+    /// doesn't end within `timings.stop_bound`, the target's lease is no longer renewed.
     fn request_stop(&mut self, key: RunKey, orphaned_since: Option<Now>) {
         let resend_at = self.now;
         let Some(run) = self.runs.get_mut(key) else {
@@ -432,9 +433,7 @@
         stopping.orphaned_since = stopping.orphaned_since.or(orphaned_since);
     }
 
-    // Runs.
-
-    /// Ends all runs, each with the outcome for a run whose end was not listed.
+    /// Ends all runs. The target listed no end for them, so each gets its `end_if_unlisted`.
     fn end_all(&mut self) {
         for key in self.runs.keys() {
             let end = self.runs.get(key).map(|run| run.end_if_unlisted);
@@ -458,7 +457,7 @@
             format!("run={key} end={end:?} ran_ms={ran_ms} still_running={running}"),
         );
         if let Some(owner) = run.owner {
-            self.entries
+            self.entry_links
                 .tell(owner, AgentNews::Ended { key, end, ran_ms });
         }
     }
@@ -477,15 +476,13 @@
         }
     }
 
-    // Time.
-
     /// Stops orphaned runs. Ends all runs once the target's lease must have lapsed.
     fn check_leases(&mut self) {
         let now = self.now;
         let mut orphans = Vec::new();
         for (key, run) in self.runs.iter() {
             let owned_until = match run.owner {
-                Some(owner) => self.entries.until(owner),
+                Some(owner) => self.entry_links.lease_until(owner),
                 None => run.since + self.options.timings.claim_grace,
             };
             if owned_until <= now && run.stopping.is_none_or(|s| s.orphaned_since.is_none()) {
@@ -496,7 +493,8 @@
             self.log(EventCode::RunOrphaned, format!("run={key}"));
             self.request_stop(key, Some(owned_until));
         }
-        self.entries
+        // Entries are forgotten a minute after their leases have lapsed.
+        self.entry_links
             .forget_before(now.saturating_sub(Duration::from_secs(60)));
         if now < self.lease.lapses_at() {
             return;
@@ -538,7 +536,7 @@
         self.draining_since = Some(self.now);
         let running = self.runs.len();
         self.log(EventCode::Draining, format!("running={running}"));
-        self.entries.tell_all(&AgentNews::Leaving);
+        self.entry_links.tell_all(&AgentNews::Leaving);
     }
 
     /// Exits once nothing runs or the drain limit is reached. Runs that remain are adopted by the
@@ -563,18 +561,16 @@
         self.exited = true;
     }
 
-    // Packets.
-
     fn free(&self) -> Resources {
         let Some(target) = self.incarnations.current() else {
             return Resources::NONE;
         };
-        let is_closed = self.draining_since.is_some()
+        let takes_no_work = self.draining_since.is_some()
             || self.incarnations.may_be_leaving()
             || self.is_evacuated()
-            || !self.has_read_lists
+            || !self.knows_runs
             || self.lease.is_silent();
-        if is_closed {
+        if takes_no_work {
             return Resources::NONE;
         }
         self.runs.free(target.capacity)
@@ -586,8 +582,8 @@
             free: self.free(),
             place: self.runs.typical_size(),
         };
-        self.entries.share_room(self.now, free_capacity);
-        for due in self.entries.take_due(self.now) {
+        self.entry_links.share_room(self.now, free_capacity);
+        for due in self.entry_links.take_due(self.now) {
             let packet = AgentPacket {
                 clock,
                 free: due.free,
--- a/lib/src/run_agent/evacuation.rs
+++ b/lib/src/run_agent/evacuation.rs
@@ -29,14 +29,14 @@
     /// When to read the evacuations from the store; none while no entry is linked, as there are no
     /// orders to refuse.
     pub(super) fn ask_evacuations_at(&self) -> Option<Now> {
-        if self.entries.is_empty() {
+        if self.entry_links.is_empty() {
             return None;
         }
         self.evacuation_watch.ask_at()
     }
 
     pub(super) fn ask_evacuations(&mut self) {
-        if !self.entries.is_empty() && self.evacuation_watch.take_due(self.now) {
+        if !self.entry_links.is_empty() && self.evacuation_watch.take_due(self.now) {
             self.evacuations_asked_at = Some(self.now);
             self.actions.push(AgentAction::AskEvacuations);
         }
--- a/lib/src/run_agent/incarnations.rs
+++ b/lib/src/run_agent/incarnations.rs
@@ -10,7 +10,8 @@
 use crate::target_incarnation::{BornMillis, TargetIncarnation, TargetName};
 use crate::target_incarnations::ReportOutcome;
 
-/// Delay before an incarnation that refused the fencing token is checked with a higher one.
+/// Delay before an incarnation that refused the fencing token as too low is checked with a higher
+/// one. A target refuses calls with lower tokens than it has seen.
 const FENCED_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 impl RunAgentCore {
@@ -19,8 +20,8 @@
         let (number, leaving) = (report.sequence, report.info.leaving);
         match self.incarnations.report(self.now, report) {
             ReportOutcome::Known => {}
-            ReportOutcome::Late(known) => {
-                let why = format!("why=\"number {known} was already reported\"");
+            ReportOutcome::Late(last_number) => {
+                let why = format!("why=\"number {last_number} was already reported\"");
                 self.log_ignored_report(&incarnation, number, leaving, &why);
             }
             ReportOutcome::PastIncarnation => {
@@ -36,9 +37,9 @@
                 self.log_ignored_report(&incarnation, number, leaving, "why=\"another service\"");
             }
             ReportOutcome::NeedsCheck => {
-                let known = self.incarnations.current_incarnation();
-                let known = known.map_or("-".to_owned(), ToString::to_string);
-                let detail = format!("life={incarnation} known={known} leaving={leaving}");
+                let current = self.incarnations.current_incarnation();
+                let current = current.map_or("-".to_owned(), ToString::to_string);
+                let detail = format!("life={incarnation} known={current} leaving={leaving}");
                 self.log(EventCode::TargetLifeReported, detail);
             }
         }
@@ -61,7 +62,7 @@
     pub(super) fn check_incarnations(&mut self) {
         while let Some(target_name) = self
             .incarnations
-            .take_due(self.now, self.lease.next_number())
+            .take_due_check(self.now, self.lease.next_number())
         {
             let query = self.lease.look();
             self.actions.push(AgentAction::CheckIncarnation {
@@ -72,7 +73,7 @@
     }
 
     pub(super) fn incarnation_checked(&mut self, number: u64, answer: IncarnationAnswer) {
-        let Some(incarnation) = &self.incarnations.checked_by(number) else {
+        let Some(incarnation) = &self.incarnations.candidate_of_call(number) else {
             return;
         };
         match answer {
@@ -83,26 +84,26 @@
                 self.incarnations
                     .check_at(self.now + FENCED_RETRY_DELAY, incarnation);
             }
-            IncarnationAnswer::OtherIncarnation => self.reported_incarnation_over(incarnation),
+            IncarnationAnswer::OtherIncarnation => self.note_candidate_over(incarnation),
             IncarnationAnswer::Alive(born) if !incarnation.matches_born(born) => {
-                self.reported_incarnation_over(incarnation)
+                self.note_candidate_over(incarnation)
             }
             IncarnationAnswer::Alive(_) => self.begin_incarnation(incarnation),
         }
     }
 
-    fn reported_incarnation_over(&mut self, incarnation: &TargetIncarnation) {
+    fn note_candidate_over(&mut self, incarnation: &TargetIncarnation) {
         self.incarnations.mark_over(incarnation);
         let detail = format!("life={incarnation} runs=0 why=\"another incarnation answers\"");
         self.log(EventCode::TargetLifeOver, detail);
     }
 
     fn begin_incarnation(&mut self, incarnation: &TargetIncarnation) {
-        // This incarnation can have obeyed only orders that named it. If it has the same name as
-        // the last one, its lists show which runs they started.
+        // The new incarnation can have executed only orders that state its target name. If the last
+        // one had another name, none of its runs continue. Otherwise the new lists show which do.
         let is_other_name = self
             .incarnations
-            .last_name()
+            .newest_name()
             .is_some_and(|n| *n != incarnation.name);
         self.mark_current_over("a new incarnation answers");
         if is_other_name {
@@ -110,14 +111,14 @@
         }
         // Lists that were read without a target name may be those of another incarnation.
         self.lease.reset_incarnation();
-        self.has_read_lists = false;
+        self.knows_runs = false;
         self.incarnations.make_current(self.now, incarnation);
         self.target_changed();
     }
 
-    /// Detects from its lists that the target has restarted under the same name. The sequence
-    /// numbers of reports and ends then start again, and comparing them with the old ones would
-    /// discard new reports and ends.
+    /// Checks whether the lists in the answer to renewal `number` show a restart under the same
+    /// name. If so, marks the current incarnation as over and announces that. The numbers of reports
+    /// and ends then start again, so the old ones are forgotten.
     pub(super) fn check_for_restart(&mut self, number: u64, born: Option<BornMillis>) {
         let is_current = self
             .incarnations
@@ -150,14 +151,14 @@
             EventCode::TargetReported
         };
         self.log(code, detail);
-        if self.has_read_lists {
+        if self.knows_runs {
             self.announce_target();
         }
     }
 
     pub(super) fn announce_target(&mut self) {
         let news = AgentNews::Target(self.announced_target());
-        self.entries.tell_all(&news);
+        self.entry_links.tell_all(&news);
     }
 
     /// The target as announced to entries; none before its lists have been read. An entry that
@@ -165,7 +166,7 @@
     pub(super) fn announced_target(&self) -> Option<TargetInfo> {
         self.incarnations
             .current()
-            .filter(|_| self.has_read_lists)
+            .filter(|_| self.knows_runs)
             .cloned()
     }
 
@@ -189,19 +190,19 @@
     }
 
     /// Ends the current incarnation and all its runs after an incarnation of another name has
-    /// answered. That one can't have obeyed orders that named the old one.
+    /// answered. That one can't have executed orders that state the old name.
     pub(super) fn end_incarnation(&mut self, why: &str) {
         if self.mark_current_over(why) {
             self.lease.reset_incarnation();
-            // The lists of the next incarnation tell its clock.
-            self.has_read_lists = false;
+            // The lists of this incarnation say nothing about the next one.
+            self.knows_runs = false;
             self.end_all();
         }
     }
 
-    /// Whether the target may have crashed, possibly because of one of its runs: it announced no
-    /// leave, and it refuses connections or was not silent before. A target that lost power or its
-    /// network is silent first.
+    /// Whether the target may have crashed, possibly because of one of its runs. False if no
+    /// incarnation is current or it announced that it leaves. Also false if it was silent without
+    /// refusing connections, as after a loss of power or of the network.
     pub(super) fn may_have_crashed(&self) -> bool {
         let is_leaving = self
             .incarnations
@@ -210,9 +211,9 @@
         !is_leaving && (self.lease.is_refused() || !self.lease.is_silent())
     }
 
-    /// Marks the current incarnation as over, without ending its runs: a next one of the same name
-    /// may have obeyed orders for this one, and its lists tell which runs continue. Returns false
-    /// if there is no current incarnation.
+    /// Marks the current incarnation as over, without ending its runs. A new incarnation of the same
+    /// name may have executed orders meant for this one; its lists show which runs it has. Returns
+    /// false if there is no current incarnation.
     fn mark_current_over(&mut self, why: &str) -> bool {
         let Some(incarnation) = self.incarnations.current_incarnation().cloned() else {
             return false;
--- a/lib/src/run_agent/lists.rs
+++ b/lib/src/run_agent/lists.rs
@@ -14,7 +14,7 @@
 use crate::target_lease::{EndNumber, ListedRun, Renewal, TargetMillis};
 
 /// A run is slow if its projected duration exceeds this many times its estimate plus
-/// [`SLOW_SLACK`]. The factor is above the usual error of estimates on healthy targets.
+/// [`SLOW_SLACK`].
 const SLOW_FACTOR: f64 = 3.0;
 /// Allowance for the time of the calls.
 const SLOW_SLACK: Duration = Duration::from_millis(20);
@@ -50,8 +50,7 @@
         }
         // A target with an unanswered call is queried until it answers, even if no lease is left to
         // renew.
-        let is_idle =
-            self.runs.is_empty() && self.has_read_lists && !self.lease.has_unanswered_call();
+        let is_idle = self.runs.is_empty() && self.knows_runs && !self.lease.has_unanswered_call();
         if is_idle {
             return;
         }
@@ -63,8 +62,8 @@
     }
 
     /// Whether the lease may be renewed: not while the stop of an orphaned run is past its bound,
-    /// and not while a run has no owner. The entry of such a run may rely on the lease lapsing,
-    /// counted from its last packet to an earlier incarnation of this agent.
+    /// and not while a run has no owner. The entry that ordered such a run may rely on the lease
+    /// lapsing a certain time after its last packet to an earlier incarnation of this agent.
     pub(super) fn may_renew(&self) -> bool {
         let now = self.now;
         let stop_bound = self.options.timings.stop_bound;
@@ -147,8 +146,8 @@
         if ended.len() < MAX_LISTED_ENDS {
             self.settle_unlisted(answered.sent_at, answered.token, running);
         }
-        if !self.has_read_lists {
-            self.has_read_lists = true;
+        if !self.knows_runs {
+            self.knows_runs = true;
             let adopted = self.runs.len();
             self.log(EventCode::TargetListsRead, format!("adopted={adopted}"));
             self.announce_target();
@@ -264,6 +263,6 @@
             ran_ms,
             percent,
         };
-        self.entries.tell(owner, news);
+        self.entry_links.tell(owner, news);
     }
 }
--- a/lib/src/run_agent/starts.rs
+++ b/lib/src/run_agent/starts.rs
@@ -12,7 +12,7 @@
 use crate::run_table::{FencingToken, Phase, Run};
 use crate::target_incarnation::TargetName;
 
-/// Longest timeout of a start. The target is on the same VM; the margin is for a slowed-down VM.
+/// Longest timeout of a start, and the limit of its call.
 pub(super) const MAX_START_TIMEOUT: Duration = Duration::from_millis(100);
 /// Shortest timeout of a start, for targets that answer quickly.
 pub(super) const MIN_START_TIMEOUT: Duration = Duration::from_millis(20);
@@ -28,8 +28,8 @@
     }
 
     pub(super) fn start_ordered(&mut self, link: SessionId, order: StartOrder) {
-        self.entries.ordered(link, order.runs.len() as u64);
-        let Some(entry) = self.entries.get_mut(link).and_then(|l| l.entry) else {
+        self.entry_links.ordered(link, order.runs.len() as u64);
+        let Some(entry) = self.entry_links.get_mut(link).and_then(|l| l.entry) else {
             return;
         };
         let payload = match self.payload_of(link, &order) {
@@ -74,7 +74,7 @@
             format!("run={key} reason={reason:?}"),
         );
         if let Some(entry) = entry {
-            self.entries
+            self.entry_links
                 .tell(entry, AgentNews::NotStarted { key, reason });
         }
     }
@@ -90,7 +90,7 @@
             return Err(NotStarted::Leaving);
         }
         let start_by = Duration::from_millis(order.start_by);
-        if start_by <= self.now || !self.entries.is_held(self.now, entry) {
+        if start_by <= self.now || !self.entry_links.is_held(self.now, entry) {
             return Err(NotStarted::Late);
         }
         let target = self.incarnations.current().cloned();
@@ -104,7 +104,7 @@
         if target.service != order.service {
             return Err(NotStarted::WrongService);
         }
-        if !self.has_read_lists || self.lease.is_silent() {
+        if !self.knows_runs || self.lease.is_silent() {
             return Err(NotStarted::Unreachable);
         }
         if self.lease.has_unanswered_call() {
@@ -218,7 +218,7 @@
             StartAnswer::Unhealthy => self.not_started(key, NotStarted::Unhealthy),
             StartAnswer::Refused => {
                 // Nothing is started until the lists have been read again.
-                self.has_read_lists = false;
+                self.knows_runs = false;
                 self.lease.note_refused();
                 self.not_started(key, NotStarted::Unreachable);
             }
--- a/lib/src/run_event.rs
+++ b/lib/src/run_event.rs
@@ -1,8 +1,8 @@
 //! Events and actions of the agent's core on the platform.
 //!
 //! [`AgentAction::Start`], [`AgentAction::Renew`], [`AgentAction::CheckIncarnation`] and
-//! [`AgentAction::AskEvacuations`] are each answered by one event, within the limit that they name.
-//! Actions are executed in order; each may fail.
+//! [`AgentAction::AskEvacuations`] are each answered by one event, the first three within the limit
+//! that they state. Actions are executed in order; each may fail.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,7 +25,7 @@
     pub name: NodeName,
     /// Incarnation of the agent.
     pub incarnation: Incarnation,
-    /// Data hall.
+    /// Data hall of the agent and its target.
     pub hall: HallName,
     /// Timing bounds.
     pub timings: Timings,
@@ -65,7 +65,7 @@
     Full,
     /// The target is unhealthy and started nothing.
     Unhealthy,
-    /// Another incarnation of the target answered and started nothing.
+    /// An incarnation of another name answered and started nothing.
     OtherIncarnation,
     /// The connection was refused, so nothing was started.
     Refused,
@@ -84,12 +84,12 @@
         clock: TargetMillis,
         /// Running runs.
         running: Vec<ListedRun>,
-        /// Ends after the number that was sent.
+        /// Ends with higher numbers than [`Renewal::last_seen`].
         ended: Vec<(EndNumber, RunKey, RunEnd)>,
     },
     /// The target has seen a higher fencing token.
     Fenced,
-    /// Another incarnation of the target answered.
+    /// An incarnation of another name answered.
     OtherIncarnation,
     /// The connection was refused: no process listens.
     Refused,
@@ -97,7 +97,7 @@
     Silent,
 }
 
-/// Outcome of a call that names an incarnation of the target.
+/// Outcome of a call that checks an incarnation of the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IncarnationAnswer {
     /// An incarnation of that name answered, with its start time if it states one.
@@ -160,7 +160,7 @@
         /// The answer.
         answer: IncarnationAnswer,
     },
-    /// Addresses of entries from the settings or the registry.
+    /// Addresses of entries from the settings or the store.
     Entries(Vec<SocketAddr>),
     /// Answer to [`AgentAction::AskEvacuations`]; none if the read failed.
     Evacuations(Option<Arc<EvacuatedHalls>>),
--- a/lib/src/run_table.rs
+++ b/lib/src/run_table.rs
@@ -12,8 +12,8 @@
 use crate::resources::Resources;
 use crate::run::{RunEnd, RunKey, TaskKey};
 
-/// How long an end is kept for entries that missed it. Longer than an entry waits before it
-/// considers the runs of a silent agent lost.
+/// How long an end is kept for entries that missed it. With the default bounds, longer than an entry
+/// waits before it considers the runs of a silent agent lost.
 const END_RETENTION: Duration = Duration::from_secs(16);
 
 /// Fencing token of an order. The target refuses orders with a lower token than it has seen.
@@ -29,7 +29,8 @@
         /// When it was sent.
         sent: Now,
     },
-    /// Its start was not answered in time. A higher token settles whether it runs.
+    /// Its start was not answered in time. Lists that were requested with a higher token show
+    /// whether it runs.
     Unconfirmed {
         /// Token of the order.
         token: FencingToken,
@@ -45,9 +46,9 @@
 pub struct Stopping {
     /// When to send it next.
     pub resend_at: Now,
-    /// When the run was orphaned, if it was; the stop must succeed within the stop bound after
-    /// that. This is the time of the lapse, not of its detection. Otherwise an agent that was
-    /// stalled in between would renew a lease that must lapse.
+    /// When the owner's lease lapsed, if it has. The stop must succeed within the stop bound after
+    /// that. The time of the detection would be too late: an agent that was stalled in between would
+    /// renew a lease that must lapse.
     pub orphaned_since: Option<Now>,
 }
 
--- a/lib/src/session_links.rs
+++ b/lib/src/session_links.rs
@@ -41,7 +41,7 @@
 const MAX_FRAMES_PER_SECOND: u32 = 50_000;
 /// Time limit for a connection and its handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Initial backoff between dials.
+/// Initial backoff between dials, and pause after a failed accept.
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
 /// Longest backoff between dials.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
@@ -248,7 +248,7 @@
         }
     }
 
-    /// Relays frames until either side ends the session.
+    /// Exchanges the first messages, then relays frames until either side ends the session.
     async fn run_session(self: Rc<Self>, mut socket: WebSocketStream<TcpStream>) {
         let session = self.next_session.get();
         self.next_session.set(session + 1);
--- a/lib/src/target_incarnations.rs
+++ b/lib/src/target_incarnations.rs
@@ -2,9 +2,11 @@
 //!
 //! A crashed target restarts as a new incarnation at the same address, often under the same name. A
 //! report or goodbye may arrive after its sender has died, so neither proves anything by itself.
-//! Invariant: an incarnation becomes current only once it has answered a call that names it, and is
-//! over only once another incarnation has answered such a call. An incarnation that is over never
-//! returns.
+//! Calls state only the target name. Answers contain the start time of the incarnation; targets that
+//! state none take a new name for each incarnation. Invariant: an incarnation becomes current only
+//! once a call to its target name was answered with its start time, and is over only once another
+//! incarnation has answered a call. A past incarnation that reports is ignored while it is
+//! remembered, see `MAX_PAST`.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,9 +18,9 @@
 
 /// Delay before an incarnation that did not answer is checked again.
 const RECHECK_DELAY: Duration = Duration::from_millis(100);
-/// An incarnation that neither answers nor reports for this long is no longer checked.
+/// An incarnation that has not reported for this long is no longer checked.
 const CHECK_EXPIRY: Duration = Duration::from_millis(4_500);
-/// Most incarnations that are checked at a time: the living one and dead ones with late reports.
+/// Most incarnations that are checked at a time.
 const MAX_CANDIDATES: usize = 4;
 /// Most past incarnations that are remembered. A forgotten one that reports is checked again.
 const MAX_PAST: usize = 64;
@@ -54,12 +56,13 @@
 pub enum ReportOutcome {
     /// The report contains nothing new.
     Known,
-    /// Ignored: its number is not above this one, the last of the current incarnation.
+    /// Ignored: it is not newer than the last report of the current incarnation, which has this
+    /// number.
     Late(u64),
     /// Ignored: the incarnation is over.
     PastIncarnation,
-    /// Ignored: the service differs from that of the current incarnation. An incarnation keeps its
-    /// service, so another writer sent this report, and its number is not the target's.
+    /// Ignored: the service differs from that of the current incarnation. An incarnation never
+    /// changes its service, so the report came from another sender and its number is meaningless.
     OtherService,
     /// The state of the current incarnation has changed.
     Changed,
@@ -71,10 +74,10 @@
 #[derive(Debug, Default)]
 pub struct TargetIncarnations {
     current: Option<TargetInfo>,
-    /// Name of the last current incarnation. Orders in flight may still state it.
-    last_name: Option<TargetName>,
-    /// Number of the current incarnation's last report.
-    sequence: u64,
+    /// Name of the current incarnation, or of the most recent one if none is current. Orders in
+    /// flight may still state it.
+    newest_name: Option<TargetName>,
+    last_report_number: u64,
     past: VecDeque<TargetIncarnation>,
     candidates: Vec<Candidate>,
 }
@@ -96,9 +99,9 @@
             .map(|incarnation| incarnation.name.clone())
     }
 
-    /// Returns the name of the last current incarnation.
-    pub fn last_name(&self) -> Option<&TargetName> {
-        self.last_name.as_ref()
+    /// Returns the name of the current incarnation, or of the most recent one if none is current.
+    pub fn newest_name(&self) -> Option<&TargetName> {
+        self.newest_name.as_ref()
     }
 
     /// Whether the target may be leaving, by a report of the current incarnation or of one of the
@@ -113,7 +116,7 @@
         current.leaving || same_name.any(|c| c.report.info.leaving)
     }
 
-    /// Handles a report.
+    /// Applies a report of the current incarnation, or notes another incarnation to be checked.
     pub fn report(&mut self, now: Now, report: TargetReport) -> ReportOutcome {
         if self.past.contains(&report.info.life) {
             return ReportOutcome::PastIncarnation;
@@ -126,14 +129,14 @@
     }
 
     fn report_of_current(&mut self, report: TargetReport) -> ReportOutcome {
-        if report.sequence <= self.sequence {
-            return ReportOutcome::Late(self.sequence);
+        if report.sequence <= self.last_report_number {
+            return ReportOutcome::Late(self.last_report_number);
         }
         let service = self.current.as_ref().map(|t| &t.service);
         if service != Some(&report.info.service) {
             return ReportOutcome::OtherService;
         }
-        self.sequence = report.sequence;
+        self.last_report_number = report.sequence;
         if self.current.as_ref() == Some(&report.info) {
             return ReportOutcome::Known;
         }
@@ -164,13 +167,13 @@
         });
     }
 
-    /// Returns the target name for the next check that is due and records `number` as its call.
-    pub fn take_due(&mut self, now: Now, number: u64) -> Option<TargetName> {
+    /// Returns the target name for the next check that is due and records the number of its call.
+    pub fn take_due_check(&mut self, now: Now, call_number: u64) -> Option<TargetName> {
         self.candidates
             .retain(|c| c.reported_at + CHECK_EXPIRY > now || c.check.due_at().is_none());
         let is_due = |c: &&mut Candidate| c.check.due_at().is_some_and(|at| at <= now);
         let due = self.candidates.iter_mut().find(is_due)?;
-        due.check = CheckState::InFlight(number);
+        due.check = CheckState::InFlight(call_number);
         Some(due.report.info.life.name.clone())
     }
 
@@ -181,23 +184,23 @@
     }
 
     /// Returns the incarnation that a call checks, if its answer still matters.
-    pub fn checked_by(&self, number: u64) -> Option<TargetIncarnation> {
+    pub fn candidate_of_call(&self, call_number: u64) -> Option<TargetIncarnation> {
         let mut candidates = self.candidates.iter();
-        let found = candidates.find(|c| c.check == CheckState::InFlight(number));
+        let found = candidates.find(|c| c.check == CheckState::InFlight(call_number));
         found.map(|c| c.report.info.life.clone())
     }
 
-    /// Makes a reported incarnation current after it has answered. The previous one must have
-    /// been marked as over.
+    /// Makes a reported incarnation current after it has answered. The previous one must have been
+    /// marked as over or forgotten.
     pub fn make_current(&mut self, now: Now, incarnation: &TargetIncarnation) {
         let mut candidates = self.candidates.iter();
         let Some(position) = candidates.position(|c| c.report.info.life == *incarnation) else {
             return;
         };
         let TargetReport { info, sequence } = self.candidates.remove(position).report;
-        self.last_name = Some(info.life.name.clone());
+        self.newest_name = Some(info.life.name.clone());
         self.current = Some(info);
-        self.sequence = sequence;
+        self.last_report_number = sequence;
         // An answer in flight to another check may have been sent before this incarnation started.
         for other in &mut self.candidates {
             other.check = CheckState::Due(now);
@@ -223,7 +226,7 @@
         self.current = None;
     }
 
-    /// Marks an incarnation as over for good, after another one has answered in its place.
+    /// Marks an incarnation as over, after another one has answered in its place.
     pub fn mark_over(&mut self, incarnation: &TargetIncarnation) {
         self.candidates
             .retain(|c| c.report.info.life != *incarnation);
--- a/lib/src/target_lease.rs
+++ b/lib/src/target_lease.rs
@@ -19,7 +19,7 @@
 /// Added to a token that the target refuses as too low. Tokens are derived from the time of day in
 /// milliseconds; the step exceeds the expected difference between clocks.
 const TOKEN_STEP: FencingToken = 10_000;
-/// Shortest wait of a renewal for an end.
+/// Shortest wait for an end of a renewal that waits at all.
 const MIN_WAIT: Duration = Duration::from_millis(20);
 /// How long an answer may take beyond the requested wait before its connection is closed.
 const ANSWER_SLACK: Duration = Duration::from_millis(120);
@@ -28,13 +28,14 @@
 const LOSSY_PERIOD: Duration = Duration::from_secs(2);
 /// Longest wait of a renewal during [`LOSSY_PERIOD`].
 const LOSSY_WAIT: Duration = Duration::from_millis(20);
-/// Pause before a failed renewal is retried; grows with the number of consecutive failures.
+/// Pause before a refused renewal is retried. After unanswered renewals it is multiplied by the
+/// number of consecutive ones less one.
 const RETRY_PAUSE: Duration = Duration::from_millis(30);
-/// Limit of the factor of [`RETRY_PAUSE`], so that a target that returns is found in time.
+/// Largest factor of [`RETRY_PAUSE`].
 const MAX_PAUSES: u32 = 7;
 /// Consecutive unanswered renewals before the target may count as silent.
 const MIN_SILENT_CALLS: u32 = 2;
-/// Time without an answer before the target may count as silent: two calls that time out.
+/// Time without an answer before the target may count as silent.
 const MIN_SILENCE: Duration = Duration::from_millis(240);
 
 /// A renewal to be sent.
@@ -147,8 +148,8 @@
         self.token
     }
 
-    /// Invalidates all calls with the current token that have not reached the target yet. Takes
-    /// effect when the next renewal is answered.
+    /// Raises the token for all further calls. Once the target has seen the new one, it refuses
+    /// earlier calls that arrive later.
     pub fn raise_token(&mut self) {
         self.token += 1;
     }
@@ -270,7 +271,8 @@
         self.pause(now, number, pauses.min(MAX_PAUSES));
     }
 
-    /// When the renewal in flight is overdue, if the target answers within `limit`, and its number.
+    /// When the renewal in flight is overdue, and its number. An answer may take `limit` beyond the
+    /// requested wait.
     pub fn overdue_at(&self, limit: Duration) -> Option<(Now, u64)> {
         let in_flight = self.in_flight?;
         let at = in_flight.sent_at + in_flight.wait + limit;
@@ -312,7 +314,8 @@
         if self.in_flight.is_some() || self.retry_at.is_some_and(|at| at > now) {
             return None;
         }
-        // The first call only reads the clock; after a lost answer the next one is not to wait.
+        // The first call reads the clock, and a call after an unanswered one tests the target.
+        // Neither waits for an end.
         let wait = if self.clock.is_none() || self.silent_calls > 0 {
             Duration::ZERO
         } else if self.lossy_until > now {
--- a/lib/src/timings.rs
+++ b/lib/src/timings.rs
@@ -7,10 +7,9 @@
 
 use snafu::{Snafu, ensure};
 
-/// How much longer a lease may last than its length, because a target's clock may run slow.
+/// Factor by which a lease may outlast its length, because a target's clock may run slow.
 const CLOCK_SLOWDOWN: f64 = 1.02;
-/// Longest lease of an entry on its runs: survives a lost heartbeat, and frees the capacity of a
-/// lost entry's runs within a second.
+/// Longest lease of an entry on its runs. Must survive a lost heartbeat.
 const MAX_ENTRY_LEASE: Duration = Duration::from_millis(800);
 /// Heartbeats of an agent in one lease of an entry, with slack for the network.
 const HEARTBEATS_PER_LEASE: f64 = 3.2;
@@ -29,8 +28,7 @@
 const MAX_SUSPENSION: Duration = Duration::from_secs(10);
 /// Longest time that a run without an owner waits for one: covers a few dials.
 const MAX_CLAIM_GRACE: Duration = Duration::from_millis(200);
-/// Longest time that a stopping entry serves all requests: the load balancer polls every second and
-/// removes an entry at the second failure.
+/// Longest time that a stopping entry serves all requests, until the load balancer has removed it.
 const MAX_SERVE_ON: Duration = Duration::from_millis(3_200);
 
 /// The platform's guarantees, from its settings.
