--- a/lib/testutils/src/bin/measure-cost.rs
+++ b/lib/testutils/src/bin/measure-cost.rs
@@ -1,5 +1,5 @@
-//! Slopes for docs/CAPACITY.md: processor time, bytes and memory of the real cores and codecs,
-//! each at several sizes.
+//! Measures CPU time, wire bytes and memory of the real cores and codecs at several sizes, for the
+//! scaling estimates in docs/CAPACITY.md.
 
 use std::collections::VecDeque;
 use std::fs;
@@ -23,14 +23,14 @@
 use trestleknot_lib::permit::{ClaimAnswer, FleetSecret, PermitId, Registrar};
 use trestleknot_lib::placement::PlacementMode;
 
-/// Teams of the two-year target.
+/// Number of teams in the measured configuration.
 const TEAMS: usize = 54;
 /// Slots of each target.
 const SLOTS: u32 = 8;
-/// Tasks of each job.
+/// Tasks per job.
 const TASKS_PER_JOB: usize = 40;
-/// Bytes of WebSocket, TCP and IP around a frame that travels alone.
-const FRAMING: usize = 46;
+/// Bytes of WebSocket, TCP and IP headers of a frame in its own packet.
+const HEADER_BYTES: usize = 46;
 
 fn main() {
     let matches = Command::new("measure-cost")
@@ -44,8 +44,8 @@
         )
         .get_matches();
     let tasks = *matches.get_one::<usize>("tasks").expect("has a default");
-    sizes();
-    // Memory first, and never given back, so that no size hides in another's.
+    print_sizes();
+    // Memory is measured first and never freed, because reused pages would hide growth.
     memory_slopes();
     for sessions in [10, 100, 1_000, 3_000] {
         entry_slopes(sessions, tasks);
@@ -119,7 +119,7 @@
     }
 }
 
-/// An entry's core with agents that answer at once.
+/// An entry's core with simulated agents that answer immediately.
 struct Bench {
     core: EntryCore,
     now: Duration,
@@ -128,7 +128,7 @@
     complete: usize,
     codec: Duration,
     messages: usize,
-    deaf: bool,
+    is_unresponsive: bool,
 }
 
 impl Bench {
@@ -141,7 +141,7 @@
             complete: 0,
             codec: Duration::ZERO,
             messages: 0,
-            deaf: false,
+            is_unresponsive: false,
         };
         bench.handle(batch(0, ConfigStamp::default(), 3_000));
         for agent in 1..=sessions {
@@ -150,21 +150,21 @@
                 hello: hello(agent),
             });
         }
-        bench.settle();
+        bench.drain_inbox();
         bench
     }
 
-    /// Agents enough to admit so many jobs, none of which answers.
-    fn deaf(jobs: u64) -> Self {
+    /// A bench with one agent for each of `jobs`, which admits them all. The agents never answer.
+    fn unresponsive(jobs: u64) -> Self {
         let mut bench = Self::new(jobs);
-        bench.deaf = true;
+        bench.is_unresponsive = true;
         bench
     }
 
     fn handle(&mut self, event: EntryEvent) {
         for action in self.core.handle(self.now, event) {
             match action {
-                EntryAction::SendAgent { session, frame } if !self.deaf => {
+                EntryAction::SendAgent { session, frame } if !self.is_unresponsive => {
                     self.answer(session, &frame);
                 }
                 EntryAction::Reply { .. } => self.complete += 1,
@@ -173,7 +173,8 @@
         }
     }
 
-    /// Lends what is asked for and ends what is dispatched; both ways pass the codec.
+    /// Answers a frame as an agent: lends the demanded slots and finishes the dispatched tasks. Both
+    /// frames pass through the codec.
     fn answer(&mut self, session: SessionId, frame: &Frame<EntryMessage>) {
         let mut messages = Vec::new();
         for message in &frame.messages {
@@ -205,7 +206,7 @@
             .push_back(EntryEvent::AgentFrame { session, frame });
     }
 
-    fn settle(&mut self) {
+    fn drain_inbox(&mut self) {
         while let Some(event) = self.inbox.pop_front() {
             self.handle(event);
         }
@@ -231,7 +232,7 @@
     }
 }
 
-fn micros(time: Duration, count: usize) -> f64 {
+fn micros_per_item(time: Duration, count: usize) -> f64 {
     time.as_secs_f64() * 1e6 / count.max(1) as f64
 }
 
@@ -244,12 +245,12 @@
     for number in 0..jobs as u64 {
         bench.now += Duration::from_micros(100);
         bench.submit(number, TASKS_PER_JOB);
-        bench.settle();
+        bench.drain_inbox();
     }
-    let whole = began.elapsed();
+    let total = began.elapsed();
     assert_eq!(bench.complete, jobs, "every job completes");
-    let per_task = micros(whole - bench.codec, jobs * TASKS_PER_JOB);
-    let codec = micros(bench.codec, jobs * TASKS_PER_JOB);
+    let per_task = micros_per_item(total - bench.codec, jobs * TASKS_PER_JOB);
+    let codec = micros_per_item(bench.codec, jobs * TASKS_PER_JOB);
     let messages = bench.messages as f64 / (jobs * TASKS_PER_JOB) as f64;
 
     let ticks = 200;
@@ -258,14 +259,14 @@
         bench.now += Duration::from_millis(5);
         bench.handle(EntryEvent::Tick);
     }
-    let per_second = micros(began.elapsed(), 1);
+    let per_second = micros_per_item(began.elapsed(), 1);
     let changes = 20;
     let began = Instant::now();
     for change in 1..=changes {
         let head = bench.core.config().stamp();
         bench.handle(batch(change, head, 3_000 + change as u32));
     }
-    let per_change = micros(began.elapsed(), changes as usize);
+    let per_change = micros_per_item(began.elapsed(), changes as usize);
     println!(
         "entry, {sessions:>5} sessions: {per_task:.2} us a task, {codec:.2} us codec, \
          {messages:.2} messages a task; idle {per_second:.0} us a second; {per_change:.0} us a \
@@ -315,13 +316,13 @@
             }
         }
     }
-    let per_task = micros(began.elapsed(), tasks);
+    let per_task = micros_per_item(began.elapsed(), tasks);
     let began = Instant::now();
     for _ in 0..200 {
         now += Duration::from_millis(5);
         black_box(core.handle(now, AgentEvent::Tick));
     }
-    let idle = micros(began.elapsed(), 1);
+    let idle = micros_per_item(began.elapsed(), 1);
     println!(
         "agent, {entries:>5} sessions: {per_task:.2} us a task with codec; idle {idle:.0} us a second"
     );
@@ -362,8 +363,8 @@
     }
 }
 
-/// Bytes of a frame of one message, without and with framing.
-fn size<M: serde::Serialize>(kind: &str, message: M) {
+/// Prints the bytes of a frame with one message, without and with headers.
+fn print_size<M: serde::Serialize>(kind: &str, message: M) {
     let frame = Frame {
         n: 100_000,
         messages: vec![message],
@@ -371,11 +372,11 @@
     let bytes = codec::encode(&frame).len();
     println!(
         "bytes  {kind:<22} {bytes:>5}  with framing {:>5}",
-        bytes + FRAMING
+        bytes + HEADER_BYTES
     );
 }
 
-fn sizes() {
+fn print_sizes() {
     let stamp = ConfigStamp {
         version: 4_300,
         digest: u64::MAX / 5,
@@ -389,19 +390,19 @@
         job: dispatch(1).job,
         digest: u64::MAX / 7,
     };
-    size("entry Welcome", EntryMessage::Welcome(welcome(1)));
-    size("entry Dispatch", EntryMessage::Dispatch(dispatch(100_000)));
-    size("entry Demand", EntryMessage::Demand(8));
+    print_size("entry Welcome", EntryMessage::Welcome(welcome(1)));
+    print_size("entry Dispatch", EntryMessage::Dispatch(dispatch(100_000)));
+    print_size("entry Demand", EntryMessage::Demand(8));
     let settled_below = 100_000;
-    size("entry Heartbeat", EntryMessage::Heartbeat { settled_below });
-    size(
+    print_size("entry Heartbeat", EntryMessage::Heartbeat { settled_below });
+    print_size(
         "entry Revoke of 8",
         EntryMessage::Revoke((100_000..100_008).collect()),
     );
-    size("entry Claim", EntryMessage::Claim(claim.clone()));
-    size("agent Hello", AgentMessage::Hello(hello(2_800)));
-    size("agent Lend", AgentMessage::Lend(8));
-    size(
+    print_size("entry Claim", EntryMessage::Claim(claim.clone()));
+    print_size("agent Hello", AgentMessage::Hello(hello(2_800)));
+    print_size("agent Lend", AgentMessage::Lend(8));
+    print_size(
         "agent Heartbeat",
         AgentMessage::Heartbeat {
             uptime_ms: 100_000_000,
@@ -409,7 +410,7 @@
             config: stamp,
         },
     );
-    size(
+    print_size(
         "agent Finished",
         AgentMessage::Finished {
             seq: 100_000,
@@ -419,7 +420,7 @@
         },
     );
     let answer = ClaimAnswer::Granted;
-    size("agent Claimed", AgentMessage::Claimed { claim, answer });
+    print_size("agent Claimed", AgentMessage::Claimed { claim, answer });
     let teams = (0..TEAMS).map(|index| TeamDemand {
         team: format!("team-{index}").into(),
         tasks: 4_000,
@@ -430,8 +431,8 @@
         set_aside: Vec::new(),
         config: stamp,
     };
-    size("peer Report, 54 teams", PeerMessage::Report(report));
-    size(
+    print_size("peer Report, 54 teams", PeerMessage::Report(report));
+    print_size(
         "peer Hello",
         PeerMessage::Hello(PeerHello {
             protocol: PROTOCOL_VERSION,
@@ -448,38 +449,39 @@
 }
 
 /// Resident memory of this process in bytes.
-fn resident() -> usize {
+fn resident_bytes() -> usize {
     const PAGE: usize = 4_096;
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|p| p.parse().ok());
     pages.unwrap_or(0) * PAGE
 }
 
-fn grown(before: usize, count: usize) -> f64 {
-    resident().saturating_sub(before) as f64 / count as f64
+/// Growth of resident memory since `before`, per item.
+fn growth_per_item(before: usize, count: usize) -> f64 {
+    resident_bytes().saturating_sub(before) as f64 / count as f64
 }
 
 fn memory_slopes() {
     for sessions in [1_000, 3_000, 10_000] {
-        let before = resident();
+        let before = resident_bytes();
         let bench = Bench::new(sessions);
-        let bytes = grown(before, sessions as usize);
+        let bytes = growth_per_item(before, sessions as usize);
         println!("memory {bytes:>7.0} bytes a session, {sessions} sessions");
         std::mem::forget(bench);
     }
     for jobs in [1_000, 5_000] {
-        let mut bench = Bench::deaf(jobs);
-        let before = resident();
+        let mut bench = Bench::unresponsive(jobs);
+        let before = resident_bytes();
         for number in 0..jobs {
             bench.submit(number, TASKS_PER_JOB);
         }
         let held = bench.core.jobs_held();
-        let bytes = grown(before, held * TASKS_PER_JOB);
+        let bytes = growth_per_item(before, held * TASKS_PER_JOB);
         println!("memory {bytes:>7.0} bytes a waiting task, {held} jobs of {TASKS_PER_JOB}");
         std::mem::forget(bench);
     }
     let mut registrar = Registrar::default();
-    let before = resident();
+    let before = resident_bytes();
     let permits = 40_000;
     for number in 0..permits {
         let claim = Claim {
@@ -495,6 +497,6 @@
     }
     println!(
         "memory {:>7.0} bytes a permit in use",
-        grown(before, permits as usize)
+        growth_per_item(before, permits as usize)
     );
 }
--- a/lib/testutils/src/bin/measure-size.rs
+++ b/lib/testutils/src/bin/measure-size.rs
@@ -1,5 +1,5 @@
-//! Prints what control costs an entry as the fleet grows: packets and bytes by kind, counted in the
-//! virtual fleet, while nothing is asked and around changes of the configuration.
+//! Prints the control traffic of an entry at several fleet sizes: packets and bytes by kind, counted
+//! in the virtual fleet while it is idle and during configuration changes.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -10,15 +10,15 @@
 use trestleknot_lib::ids::Now;
 use trestleknot_lib::queue::{Queue, QueueTable};
 
-/// Sizes of fleets: entries and agents.
+/// Fleet sizes: numbers of entries and agents.
 const SIZES: [(usize, usize); 4] = [(13, 56), (55, 240), (184, 800), (368, 1_600)];
-/// Queues of a configuration.
+/// Number of queues in a configuration.
 const QUEUES: usize = 255;
-/// By then processes have found each other.
-const SETTLED: Now = Duration::from_secs(8);
-/// How long each phase is counted.
+/// Time by which all processes are connected.
+const CONNECTED_BY: Now = Duration::from_secs(8);
+/// Length of each phase.
 const PHASE: Duration = Duration::from_secs(2);
-/// Wide enough to hold nothing up: what it carries is counted.
+/// Link rate, high enough to delay no packet.
 const LINK_MBPS: f64 = 1_000_000.0;
 
 type Counts = BTreeMap<&'static str, Traffic>;
@@ -39,16 +39,16 @@
     Arc::new(table)
 }
 
-fn minus(after: &Counts, before: &Counts) -> Counts {
-    let less = |(kind, traffic): (&&'static str, &Traffic)| {
-        let was = before.get(kind).copied().unwrap_or_default();
+fn difference(after: &Counts, before: &Counts) -> Counts {
+    let subtract = |(kind, traffic): (&&'static str, &Traffic)| {
+        let earlier = before.get(kind).copied().unwrap_or_default();
         let traffic = Traffic {
-            count: traffic.count - was.count,
-            bytes: traffic.bytes - was.bytes,
+            count: traffic.count - earlier.count,
+            bytes: traffic.bytes - earlier.bytes,
         };
         (*kind, traffic)
     };
-    after.iter().map(less).collect()
+    after.iter().map(subtract).collect()
 }
 
 fn print(phase: &str, entries: usize, counts: &Counts) {
@@ -69,16 +69,16 @@
     println!("  {phase} | all | {packets:.1} packets | {bytes:.0} bytes an entry in 2 s");
 }
 
-fn phase(fleet: &mut RunFleet, name: &str, entries: usize) {
+fn measure_phase(fleet: &mut RunFleet, name: &str, entries: usize) {
     let before = fleet.traffic.by_kind.clone();
     let until = fleet.now() + PHASE;
     fleet.run_until(until);
-    print(name, entries, &minus(&fleet.traffic.by_kind, &before));
+    print(name, entries, &difference(&fleet.traffic.by_kind, &before));
 }
 
 fn measure(entries: usize, agents: usize) {
     println!("{entries} entries, {agents} agents");
-    let shape = FleetConfig {
+    let config = FleetConfig {
         entries,
         agents,
         halls: 5,
@@ -87,15 +87,15 @@
         seeds: Some(3),
         ..FleetConfig::default()
     };
-    let mut fleet = RunFleet::with_config(1, shape, testutils::run_fleet::config());
+    let mut fleet = RunFleet::with_config(1, config, testutils::run_fleet::config());
     fleet.keeps_log = false;
-    fleet.run_until(SETTLED);
+    fleet.run_until(CONNECTED_BY);
     print("start, 8 s", entries, &fleet.traffic.by_kind.clone());
-    phase(&mut fleet, "idle", entries);
+    measure_phase(&mut fleet, "idle", entries);
     fleet.configure(fleet.now(), &table(2), 0..entries);
-    phase(&mut fleet, "change, all hear", entries);
+    measure_phase(&mut fleet, "change, all hear", entries);
     fleet.configure(fleet.now(), &table(3), entries / 3..entries);
-    phase(&mut fleet, "change, a third does not", entries);
+    measure_phase(&mut fleet, "change, a third does not", entries);
     let behind = fleet.config_versions().iter().filter(|v| **v < 3).count();
     println!("  behind 2 s later: {behind}");
 }
--- a/lib/testutils/src/bin/measure.rs
+++ b/lib/testutils/src/bin/measure.rs
@@ -1,4 +1,4 @@
-//! Measures scenarios under placements: real daemons on loopback sockets, stand-ins around them.
+//! Measures scenarios under several placement modes, with the real daemons on loopback sockets.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -17,20 +17,20 @@
 
 fn command() -> Command {
     Command::new("measure")
-        .about("Measure scenarios under placements; several are run with the same load")
+        .about("Measure scenarios under placement modes, each with the same load")
         .arg(
             Arg::new("scenario")
                 .required(true)
                 .num_args(1..)
                 .value_parser(PossibleValuesParser::new(SCENARIOS.map(|s| s.name)))
-                .help("What to measure"),
+                .help("Scenarios to measure"),
         )
         .arg(
             Arg::new("placement")
                 .long("placement")
                 .action(ArgAction::Append)
                 .value_parser(value_parser!(PlacementMode))
-                .help("Placement; may be given several times [default: all]"),
+                .help("Placement mode; can be repeated [default: all]"),
         )
         .arg(
             Arg::new("seed")
@@ -44,13 +44,13 @@
                 .long("seconds")
                 .default_value("12")
                 .value_parser(value_parser!(u64).range(2..=120))
-                .help("How long jobs are submitted"),
+                .help("Time in seconds for which jobs are submitted"),
         )
         .arg(
             Arg::new("json")
                 .long("json")
                 .action(ArgAction::SetTrue)
-                .help("Print JSON, an outcome a line"),
+                .help("Print JSON, one outcome per line"),
         )
 }
 
@@ -70,7 +70,7 @@
     }
 }
 
-/// Measures one scenario under all placements asked for. False if a promise was broken.
+/// Measures a scenario under the requested placement modes. False if a guarantee was violated.
 fn measure(scenario: &Scenario, matches: &ArgMatches) -> bool {
     let given = matches.get_many::<PlacementMode>("placement");
     let placements: Vec<PlacementMode> = match given {
@@ -85,7 +85,7 @@
         let length = Duration::from_secs(seconds);
         match scenario::run(scenario, placement, length, seed) {
             Ok(outcome) => {
-                all_held &= promises_held(&outcome);
+                all_held &= guarantees_held(&outcome);
                 print(scenario.name, &outcome, as_json);
             }
             Err(e) => {
@@ -97,7 +97,7 @@
     all_held
 }
 
-fn promises_held(outcome: &Outcome) -> bool {
+fn guarantees_held(outcome: &Outcome) -> bool {
     let s = &outcome.summary;
     s.started_twice == 0 && s.wrong == 0 && outcome.false_refusals == 0
 }
--- a/lib/testutils/src/bin/replay.rs
+++ b/lib/testutils/src/bin/replay.rs
@@ -1,4 +1,4 @@
-//! Plays load patterns on the virtual clock and prints what became of the batches.
+//! Replays load patterns on a virtual clock and prints the outcomes of the batches.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 
 fn command() -> Command {
     Command::new("replay")
-        .about("Plays load patterns on the virtual clock")
+        .about("Replay load patterns on a virtual clock")
         .arg(
             Arg::new("patterns")
                 .required(true)
@@ -20,38 +20,38 @@
                 .long("seeds")
                 .default_value("1")
                 .value_parser(value_parser!(u64))
-                .help("Number of seeds, from 1"),
+                .help("Number of seeds, starting from 1"),
         )
         .arg(
             Arg::new("from-ms")
                 .long("from-ms")
                 .default_value("0")
                 .value_parser(value_parser!(u64))
-                .help("Count batches from this time of the load on"),
+                .help("Count batches submitted from this time of the load, in milliseconds"),
         )
         .arg(
             Arg::new("to-ms")
                 .long("to-ms")
                 .value_parser(value_parser!(u64))
-                .help("Count batches up to this time of the load"),
+                .help("Count batches submitted before this time of the load, in milliseconds"),
         )
 }
 
-fn print(name: &str, seed: u64, figures: &ReplayResults) {
+fn print(name: &str, seed: u64, results: &ReplayResults) {
     println!(
         "{name} seed {seed}: goodput {:.3} full {:.3} of {} orders, {} packets",
-        figures.goodput,
-        figures.share_full(),
-        figures.orders,
-        figures.packets
+        results.goodput,
+        results.share_full(),
+        results.orders,
+        results.packets
     );
-    for (kind, traffic) in &figures.traffic {
+    for (kind, traffic) in &results.traffic {
         println!(
             "  {kind:12} {:7} of {:9} bytes",
             traffic.count, traffic.bytes
         );
     }
-    for (kind, k) in &figures.kinds {
+    for (kind, k) in &results.kinds {
         println!(
             "  {kind:12} asked {:5} in time {:.3} late {:4} refused {:4} failed {:4} (given up {}) refused after {:3} ms",
             k.asked,
@@ -67,8 +67,8 @@
 
 fn main() -> ExitCode {
     let matches = command().get_matches();
-    let seeds: u64 = *matches.get_one("seeds").expect("it has a default");
-    let from: u64 = *matches.get_one("from-ms").expect("it has a default");
+    let seeds: u64 = *matches.get_one("seeds").expect("has a default");
+    let from: u64 = *matches.get_one("from-ms").expect("has a default");
     for name in matches.get_many::<String>("patterns").unwrap_or_default() {
         let text = match std::fs::read_to_string(name) {
             Ok(text) => text,
--- a/lib/testutils/src/bin/soak.rs
+++ b/lib/testutils/src/bin/soak.rs
@@ -1,11 +1,11 @@
-//! A randomized soak: the real programs as processes, with faults injected from outside them.
+//! A randomized soak test: the real programs as processes, with faults injected from outside.
 //!
-//! `soak --seed N --for 20s` starts entries, agents and stand-ins on loopback addresses, sends
-//! batches and injects a schedule of faults that the seed alone decides: processes killed, paused
-//! and stopped in turn, the store down, slow or losing answers, targets that crash, fall silent or
-//! lose orders, another writer that reports beside them, configurations in quick succession, callers that leave, and connections that
-//! proxies delay, silence, cut one way and reset. It checks what callers and
-//! targets saw and ends with a summary; the exit status is the verdict.
+//! `soak --seed N --for 20s` starts entries, agents and stand-ins on loopback addresses, submits
+//! batches and injects a schedule of faults that depends on the seed only. The faults cover
+//! processes (killed, paused, stopped), the store, targets, orders to targets, configurations in
+//! quick succession and connections through proxies. Callers that disconnect early and a second
+//! sender of target reports run all the time. The soak then checks the records of callers and
+//! targets and prints a summary. The exit status is nonzero if a check failed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 use platform::client::PlatformClient;
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
-use testutils::fault_proxy::{FaultProxy, Harm};
+use testutils::fault_proxy::{FaultProxy, ProxyFault};
 use testutils::platform_stand_ins::Fault;
 use testutils::process_fleet::{self, ProcessFleet, Signal};
 use testutils::run_target::{RunRecord, TargetImpairment};
@@ -27,58 +27,58 @@
 use trestleknot_lib::run::{RunEnd, TaskKey};
 use trestleknot_lib::worker_threads::run_system;
 
-/// Entries and agents of a soak.
+/// Numbers of entries and agents.
 const ENTRIES: usize = 3;
 const AGENTS: usize = 4;
-/// Batches a second: half of what the targets carry.
+/// Batches per second, half of the targets' capacity.
 const BATCHES_PER_SECOND: f64 = 12.0;
-/// How long after a broken connection a caller comes again.
-const COME_AGAIN: Duration = Duration::from_millis(1_300);
-/// How often a caller comes again at the most.
-const MOST_TRIES: u32 = 3;
-/// Calm after the last fault, in which service must be back.
-const CALM: Duration = Duration::from_secs(6);
-/// Share of the batches of the calm's second half that must succeed.
-const SERVED_AGAIN: f64 = 0.9;
-/// How long after its leave was acknowledged work may still begin on a target.
+/// Delay before a caller submits again after a broken connection.
+const RESUBMIT_DELAY: Duration = Duration::from_millis(1_300);
+/// Largest number of submissions of a batch.
+const MAX_SUBMISSIONS: u32 = 3;
+/// Period without new faults at the end, in which service must recover.
+const CALM_PERIOD: Duration = Duration::from_secs(6);
+/// Minimum share of successful batches in the second half of the calm period.
+const MIN_SUCCESS_SHARE: f64 = 0.9;
+/// Time after the acknowledgement of a target's leave in which runs may still start there.
 const LEAVE_LIMIT: Duration = Duration::from_secs(2);
-/// From a target's leave until its next life.
-const LEAVES_FOR: Duration = Duration::from_millis(4_000);
-/// Tasks that a target holds at a time.
-const ROOM: i64 = 8;
+/// Time from a target's leave until its next incarnation.
+const LEAVE_TO_RESTART: Duration = Duration::from_millis(4_000);
+/// Tasks that a target can run at a time.
+const TARGET_CAPACITY: i64 = 8;
 
-/// A fault and what it hits.
+/// A fault and the component that it affects.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Strike {
-    /// A process is killed and started again after the pause.
+enum Injection {
+    /// A process is killed, and started again after the pause.
     Kill(usize, Duration),
-    /// A process stands still.
+    /// A process is suspended for the duration.
     Pause(usize, Duration),
-    /// A process is told to stop, and started again once it has.
+    /// A process is told to stop, and is started again after six seconds.
     Stop(usize),
-    /// A process is told to read its settings again.
+    /// A process is told to reload its settings.
     Hangup(usize),
-    /// The store goes wrong.
+    /// The store fails for the duration.
     Store(Fault, Duration),
-    /// A target crashes; every second one comes back under its name.
+    /// A target crashes. Targets with an odd index restart under the same name.
     Crash(usize),
-    /// A target says that it leaves; its next life comes a while later.
+    /// A target announces that it leaves, and is replaced by its next incarnation.
     Leave(usize),
-    /// A target has room for so many tasks only, and says so with its next report.
+    /// A target's capacity drops to this number of tasks for the duration.
     Resize(usize, u64, Duration),
-    /// A target is in trouble.
+    /// A target is impaired for the duration.
     Target(usize, TargetImpairment, Duration),
-    /// Orders to a target go wrong.
+    /// Orders to a target fail for the duration.
     Orders(usize, Fault, Duration),
-    /// Configurations in quick succession.
+    /// This number of configurations is published in quick succession.
     Configs(u32),
-    /// A proxy harms what passes.
-    Harm(Path, Harm, Duration),
+    /// A proxy applies a fault to its connections for the duration.
+    Harm(Path, ProxyFault, Duration),
     /// A proxy resets its connections.
     Reset(Path),
 }
 
-/// Which proxy.
+/// Connections that a proxy carries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Path {
     /// From a process to the store.
@@ -97,33 +97,33 @@
     }
 }
 
-fn random_harm(rng: &mut ChaCha8Rng) -> Harm {
+fn random_proxy_fault(rng: &mut ChaCha8Rng) -> ProxyFault {
     let delay = Duration::from_millis(rng.random_range(5..400));
-    let harms = [
-        Harm::Delay(delay),
-        Harm::SilentThere,
-        Harm::SilentBack,
-        Harm::Silent,
+    let faults = [
+        ProxyFault::Delay(delay),
+        ProxyFault::SilentThere,
+        ProxyFault::SilentBack,
+        ProxyFault::Silent,
     ];
-    harms[rng.random_range(0..harms.len())]
+    faults[rng.random_range(0..faults.len())]
 }
 
-fn random_strike(rng: &mut ChaCha8Rng) -> Strike {
+fn random_injection(rng: &mut ChaCha8Rng) -> Injection {
     let process = rng.random_range(0..ENTRIES + AGENTS);
     let target = rng.random_range(0..AGENTS);
     let pause = Duration::from_millis(rng.random_range(200..2_500));
     let trouble = TargetImpairment::default();
     match rng.random_range(0..17) {
-        0 | 1 => Strike::Kill(process, pause / 2),
-        2 | 3 => Strike::Pause(process, pause),
-        4 => Strike::Stop(process),
-        5 => Strike::Hangup(process),
+        0 | 1 => Injection::Kill(process, pause / 2),
+        2 | 3 => Injection::Pause(process, pause),
+        4 => Injection::Stop(process),
+        5 => Injection::Hangup(process),
         6 => {
             let faults = [Fault::Silent, Fault::Status(503), Fault::LostAnswer];
-            Strike::Store(faults[rng.random_range(0..3)], pause)
+            Injection::Store(faults[rng.random_range(0..3)], pause)
         }
-        7 => Strike::Crash(target),
-        8 => Strike::Target(
+        7 => Injection::Crash(target),
+        8 => Injection::Target(
             target,
             TargetImpairment {
                 fails: true,
@@ -131,7 +131,7 @@
             },
             pause,
         ),
-        9 => Strike::Target(
+        9 => Injection::Target(
             target,
             TargetImpairment {
                 slowdown: 8.0,
@@ -141,65 +141,64 @@
         ),
         10 => {
             let faults = [Fault::Silent, Fault::LostAnswer, Fault::Status(503)];
-            Strike::Orders(target, faults[rng.random_range(0..3)], pause)
+            Injection::Orders(target, faults[rng.random_range(0..3)], pause)
         }
-        11 => Strike::Configs(rng.random_range(2..8)),
-        12 | 13 => Strike::Reset(random_path(rng)),
-        _ => Strike::Harm(random_path(rng), random_harm(rng), pause),
+        11 => Injection::Configs(rng.random_range(2..8)),
+        12 | 13 => Injection::Reset(random_path(rng)),
+        _ => Injection::Harm(random_path(rng), random_proxy_fault(rng), pause),
     }
 }
 
-/// Leaves of a seed, about one in five seconds. They have draws of their own.
-fn leaves(seed: u64, length: Duration) -> Vec<(Duration, Strike)> {
+/// Leaves of targets, about every five seconds, from a separate random stream.
+fn leaves(seed: u64, length: Duration) -> Vec<(Duration, Injection)> {
     let mut rng = ChaCha8Rng::seed_from_u64(!seed);
     let mut at = Duration::from_millis(rng.random_range(1_500..3_500));
     let mut leaves = Vec::new();
-    while at + CALM < length {
-        leaves.push((at, Strike::Leave(rng.random_range(0..AGENTS))));
+    while at + CALM_PERIOD < length {
+        leaves.push((at, Injection::Leave(rng.random_range(0..AGENTS))));
         at += Duration::from_millis(rng.random_range(4_000..6_000));
     }
     leaves
 }
 
-/// Targets of a seed that lose room for a while, about one in four seconds. They have draws of their
-/// own.
-fn resizes(seed: u64, length: Duration) -> Vec<(Duration, Strike)> {
+/// Temporary capacity drops of targets, about every four seconds, from a separate random stream.
+fn capacity_drops(seed: u64, length: Duration) -> Vec<(Duration, Injection)> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed.rotate_left(32));
     let mut at = Duration::from_millis(rng.random_range(1_500..4_000));
-    let mut resizes = Vec::new();
-    while at + CALM < length {
+    let mut capacity_drops = Vec::new();
+    while at + CALM_PERIOD < length {
         let target = rng.random_range(0..AGENTS);
         let pause = Duration::from_millis(rng.random_range(3_500..5_000));
-        let tasks = rng.random_range(0..ROOM as u64);
-        resizes.push((at, Strike::Resize(target, tasks, pause)));
+        let tasks = rng.random_range(0..TARGET_CAPACITY as u64);
+        capacity_drops.push((at, Injection::Resize(target, tasks, pause)));
         at += Duration::from_millis(rng.random_range(3_000..5_000));
     }
-    resizes
+    capacity_drops
 }
 
-/// The schedule of a seed: when each fault strikes.
-fn schedule(seed: u64, length: Duration) -> Vec<(Duration, Strike)> {
+/// The schedule of a seed: the faults with their injection times, in order.
+fn schedule(seed: u64, length: Duration) -> Vec<(Duration, Injection)> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut at = Duration::from_millis(1_500);
-    let mut strikes = Vec::new();
-    while at + CALM < length {
-        strikes.push((at, random_strike(&mut rng)));
+    let mut injections = Vec::new();
+    while at + CALM_PERIOD < length {
+        injections.push((at, random_injection(&mut rng)));
         at += Duration::from_millis(rng.random_range(200..1_800));
     }
-    strikes.extend(leaves(seed, length));
-    strikes.extend(resizes(seed, length));
-    strikes.sort_by_key(|(at, _)| *at);
-    strikes
+    injections.extend(leaves(seed, length));
+    injections.extend(capacity_drops(seed, length));
+    injections.sort_by_key(|(at, _)| *at);
+    injections
 }
 
-/// What became of a batch.
+/// Outcome of a batch as its caller saw it.
 #[derive(Debug, Clone, Default)]
 struct Outcome {
     sent: Duration,
     tasks: u32,
     tries: u32,
-    /// Whether its caller leaves before its work can be done.
-    is_hopeless: bool,
+    /// Whether the caller disconnects before the batch can complete.
+    leaves_early: bool,
     answers: Vec<(u16, String)>,
 }
 
@@ -217,82 +216,86 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ id);
     let tasks = rng.random_range(1..=5);
     let work_ms = [40, 150, 600][rng.random_range(0..3)];
-    // One caller in ten leaves long before its batch can be done.
+    // One caller in ten disconnects before its batch can complete.
     let patience = if rng.random_bool(0.1) {
         work_ms / 2
     } else {
         4_000
     };
-    for _ in 0..MOST_TRIES {
+    for _ in 0..MAX_SUBMISSIONS {
         let client = &clients[rng.random_range(0..clients.len())];
         if let Some(outcome) = outcomes.borrow_mut().get_mut(&id) {
             outcome.tasks = tasks;
-            outcome.is_hopeless = patience < work_ms;
+            outcome.leaves_early = patience < work_ms;
             outcome.tries += 1;
         }
         let limit = Duration::from_millis(patience);
         let answer = process_fleet::submit(client, id, tasks, work_ms, limit).await;
-        let comes_again = !matches!(&answer, Some((status, _)) if *status != 502 && *status != 504);
+        let retries = !matches!(&answer, Some((status, _)) if *status != 502 && *status != 504);
         if let (Some(answer), Some(outcome)) = (answer, outcomes.borrow_mut().get_mut(&id)) {
             outcome.answers.push(answer);
         }
-        if !comes_again {
+        if !retries {
             return;
         }
-        ntex::time::sleep(COME_AGAIN).await;
+        ntex::time::sleep(RESUBMIT_DELAY).await;
     }
 }
 
-fn strike(fleet: &mut ProcessFleet, strike: Strike, later: &mut Vec<(Instant, Later)>) {
+fn inject(
+    fleet: &mut ProcessFleet,
+    injection: Injection,
+    recoveries: &mut Vec<(Instant, Recovery)>,
+) {
     let now = Instant::now();
-    match strike {
-        Strike::Kill(index, pause) => {
+    match injection {
+        Injection::Kill(index, pause) => {
             fleet.signal(index, Signal::Kill);
-            later.push((now + pause, Later::Start(index)));
+            recoveries.push((now + pause, Recovery::Start(index)));
         }
-        Strike::Pause(index, pause) => {
+        Injection::Pause(index, pause) => {
             fleet.signal(index, Signal::Stop);
-            later.push((now + pause, Later::Continue(index)));
+            recoveries.push((now + pause, Recovery::Continue(index)));
         }
-        Strike::Stop(index) => {
+        Injection::Stop(index) => {
             fleet.signal(index, Signal::Continue);
             fleet.signal(index, Signal::Term);
-            later.push((now + Duration::from_secs(6), Later::Start(index)));
+            recoveries.push((now + Duration::from_secs(6), Recovery::Start(index)));
         }
-        Strike::Hangup(index) => fleet.signal(index, Signal::Hangup),
-        Strike::Store(fault, pause) => {
+        Injection::Hangup(index) => fleet.signal(index, Signal::Hangup),
+        Injection::Store(fault, pause) => {
             fleet.store.set_fault(fault);
-            later.push((now + pause, Later::StoreGood));
+            recoveries.push((now + pause, Recovery::StoreHealthy));
         }
-        Strike::Crash(index) => begin_next_life(fleet, index),
-        Strike::Leave(index) => {
+        Injection::Crash(index) => begin_next_incarnation(fleet, index),
+        Injection::Leave(index) => {
             fleet.targets[index].target().leave();
-            later.push((now + LEAVES_FOR, Later::NextLife(index)));
+            recoveries.push((now + LEAVE_TO_RESTART, Recovery::NextIncarnation(index)));
         }
-        Strike::Resize(index, tasks, pause) => {
+        Injection::Resize(index, tasks, pause) => {
             fleet.targets[index].target().capacity =
                 process_fleet::TASK.times(tasks).plus(process_fleet::MEMORY);
-            later.push((now + pause, Later::FullSize(index)));
+            recoveries.push((now + pause, Recovery::FullCapacity(index)));
         }
-        Strike::Target(index, trouble, pause) => {
+        Injection::Target(index, trouble, pause) => {
             fleet.targets[index].target().trouble = trouble;
-            later.push((now + pause, Later::TargetGood(index)));
+            recoveries.push((now + pause, Recovery::TargetHealthy(index)));
         }
-        Strike::Orders(index, fault, pause) => {
+        Injection::Orders(index, fault, pause) => {
             fleet.targets[index].set_fault(fault);
-            later.push((now + pause, Later::OrdersGood(index)));
+            recoveries.push((now + pause, Recovery::OrdersHealthy(index)));
         }
-        Strike::Configs(count) => (0..count).for_each(|_| fleet.publish()),
-        Strike::Harm(path, harm, pause) => {
-            proxy_of(fleet, path).set_harm(harm);
-            later.push((now + pause, Later::ProxyGood(path)));
+        Injection::Configs(count) => (0..count).for_each(|_| fleet.publish()),
+        Injection::Harm(path, fault, pause) => {
+            proxy_of(fleet, path).set_fault(fault);
+            recoveries.push((now + pause, Recovery::ProxyHealthy(path)));
         }
-        Strike::Reset(path) => proxy_of(fleet, path).reset(),
+        Injection::Reset(path) => proxy_of(fleet, path).reset(),
     }
 }
 
-/// Half of the targets come back under their names.
-fn begin_next_life(fleet: &ProcessFleet, index: usize) {
+/// Crashes a target. Targets with an odd index restart under the same name.
+fn begin_next_incarnation(fleet: &ProcessFleet, index: usize) {
     let at = fleet.targets[index].now();
     let mut target = fleet.targets[index].target();
     if index.is_multiple_of(2) {
@@ -310,44 +313,44 @@
     }
 }
 
-/// What ends a fault.
+/// Step that ends a fault.
 #[derive(Debug, Clone, Copy)]
-enum Later {
+enum Recovery {
     Start(usize),
     Continue(usize),
-    StoreGood,
-    TargetGood(usize),
-    OrdersGood(usize),
-    ProxyGood(Path),
-    NextLife(usize),
-    FullSize(usize),
+    StoreHealthy,
+    TargetHealthy(usize),
+    OrdersHealthy(usize),
+    ProxyHealthy(Path),
+    NextIncarnation(usize),
+    FullCapacity(usize),
 }
 
-fn end_fault(fleet: &mut ProcessFleet, later: Later) {
-    match later {
-        Later::Start(index) => {
-            // A process that was paused meanwhile, or still runs, is ended first.
+fn end_fault(fleet: &mut ProcessFleet, recovery: Recovery) {
+    match recovery {
+        Recovery::Start(index) => {
+            // Ends a process that is still running or was suspended in the meantime.
             fleet.signal(index, Signal::Kill);
             fleet.await_end(index, Duration::from_secs(1));
             if let Err(e) = fleet.start_process(index) {
-                println!("process {index} does not start: {e}");
+                println!("failed to start process {index}: {e}");
             }
         }
-        Later::Continue(index) => fleet.signal(index, Signal::Continue),
-        Later::NextLife(index) => begin_next_life(fleet, index),
-        Later::FullSize(index) => {
+        Recovery::Continue(index) => fleet.signal(index, Signal::Continue),
+        Recovery::NextIncarnation(index) => begin_next_incarnation(fleet, index),
+        Recovery::FullCapacity(index) => {
             fleet.targets[index].target().capacity = process_fleet::CAPACITY;
         }
-        Later::StoreGood => fleet.store.set_fault(Fault::None),
-        Later::TargetGood(index) => {
+        Recovery::StoreHealthy => fleet.store.set_fault(Fault::None),
+        Recovery::TargetHealthy(index) => {
             fleet.targets[index].target().trouble = TargetImpairment::default();
         }
-        Later::OrdersGood(index) => fleet.targets[index].set_fault(Fault::None),
-        Later::ProxyGood(path) => proxy_of(fleet, path).set_harm(Harm::None),
+        Recovery::OrdersHealthy(index) => fleet.targets[index].set_fault(Fault::None),
+        Recovery::ProxyHealthy(path) => proxy_of(fleet, path).set_fault(ProxyFault::None),
     }
 }
 
-/// Broken promises, in words.
+/// Checks the records of callers and targets, and returns a line for each violation.
 fn check(
     records: &[RunRecord],
     outcomes: &BTreeMap<u64, Outcome>,
@@ -372,7 +375,7 @@
             }
         }
     }
-    check_room(records, &mut broken);
+    check_capacity(records, &mut broken);
     for (id, outcome) in outcomes {
         let runs = |index: u32| {
             let runs = by_task
@@ -393,40 +396,41 @@
     if records.iter().any(|r| r.to.is_none()) {
         broken.push("runs are left over at the end".to_owned());
     }
-    let late = outcomes
+    let calm_batches = outcomes
         .values()
-        .filter(|o| o.sent + CALM / 2 > length && o.answers.len() == 1 && !o.is_hopeless);
-    let late: Vec<&Outcome> = late.collect();
-    let good = late.iter().filter(|o| o.succeeded()).count();
-    if (good as f64) < late.len() as f64 * SERVED_AGAIN {
+        .filter(|o| o.sent + CALM_PERIOD / 2 > length && o.answers.len() == 1 && !o.leaves_early);
+    let calm_batches: Vec<&Outcome> = calm_batches.collect();
+    let good = calm_batches.iter().filter(|o| o.succeeded()).count();
+    if (good as f64) < calm_batches.len() as f64 * MIN_SUCCESS_SHARE {
         broken.push(format!(
             "only {good} of {} served after the calm began",
-            late.len()
+            calm_batches.len()
         ));
     }
     broken
 }
 
-fn check_room(records: &[RunRecord], broken: &mut Vec<String>) {
+/// Checks that no target ran more tasks than it had capacity for.
+fn check_capacity(records: &[RunRecord], broken: &mut Vec<String>) {
     let mut by_target: BTreeMap<&str, Vec<(Now, i64, i64)>> = BTreeMap::new();
     for record in records {
-        // An order that was carried out late was given for the room of before.
-        let room = if record.is_late {
-            ROOM
+        // A delayed order may have been sent before the capacity dropped.
+        let capacity = if record.is_late {
+            TARGET_CAPACITY
         } else {
             process_fleet::TASK.times_in(record.room) as i64
         };
         let changes = by_target.entry(&record.target).or_default();
-        changes.push((record.from, 1, room));
+        changes.push((record.from, 1, capacity));
         changes.push((record.to.unwrap_or(Now::MAX), -1, i64::MAX));
     }
     for (target, mut changes) in by_target {
         changes.sort();
         let mut running = 0;
-        for (at, change, room) in changes {
+        for (at, change, capacity) in changes {
             running += change;
-            if running > room {
-                broken.push(format!("{target} holds {running} of {room} at {at:?}"));
+            if running > capacity {
+                broken.push(format!("{target} holds {running} of {capacity} at {at:?}"));
                 break;
             }
         }
@@ -442,9 +446,9 @@
 
 impl Soak {
     async fn run(mut self) -> Vec<String> {
-        let misheard = Misheard::default();
+        let accepted_unreadable = Misheard::default();
         let (targets, agents) = (self.fleet.targets.clone(), self.fleet.agent_addresses());
-        ntex::rt::spawn(report_forever(targets, agents, misheard.clone()));
+        ntex::rt::spawn(report_forever(targets, agents, accepted_unreadable.clone()));
         let entries: Vec<_> = (0..ENTRIES).map(|i| self.fleet.entry_address(i)).collect();
         if !process_fleet::await_ready(&entries, Duration::from_secs(10)).await {
             return vec!["the fleet did not become ready".to_owned()];
@@ -454,7 +458,7 @@
             let address = self.fleet.caller_address(index);
             clients.push(PlatformClient::new(&address.to_string()).await);
         }
-        let (clients, begun) = (Rc::new(clients), Instant::now());
+        let (clients, started) = (Rc::new(clients), Instant::now());
         let calling = Rc::new(Cell::new(true));
         ntex::rt::spawn({
             let (outcomes, calling) = (self.outcomes.clone(), calling.clone());
@@ -463,7 +467,7 @@
                 let mut rng = ChaCha8Rng::seed_from_u64(seed);
                 while calling.get() {
                     let id = rng.random();
-                    let sent = begun.elapsed();
+                    let sent = started.elapsed();
                     let outcome = Outcome {
                         sent,
                         ..Outcome::default()
@@ -475,9 +479,9 @@
                 }
             }
         });
-        self.play(begun).await;
+        self.inject_faults(started).await;
         calling.set(false);
-        // Callers that wait hear or give up.
+        // Waiting callers get an answer or time out.
         ntex::time::sleep(Duration::from_millis(4_500)).await;
         let mut records = Vec::new();
         for target in &self.fleet.targets {
@@ -492,8 +496,8 @@
             records.len()
         );
         let mut broken = check(&records, &outcomes, self.length);
-        if misheard.get() > 0 {
-            let count = misheard.get();
+        if accepted_unreadable.get() > 0 {
+            let count = accepted_unreadable.get();
             broken.push(format!(
                 "{count} reports that can't be read were acknowledged"
             ));
@@ -501,18 +505,18 @@
         broken
     }
 
-    async fn play(&mut self, begun: Instant) {
-        let strikes = schedule(self.seed, self.length);
-        let mut strikes = strikes.into_iter().peekable();
-        let mut later: Vec<(Instant, Later)> = Vec::new();
-        while begun.elapsed() < self.length {
-            while let Some((at, next)) = strikes.next_if(|(at, _)| *at <= begun.elapsed()) {
+    async fn inject_faults(&mut self, started: Instant) {
+        let injections = schedule(self.seed, self.length);
+        let mut injections = injections.into_iter().peekable();
+        let mut recoveries: Vec<(Instant, Recovery)> = Vec::new();
+        while started.elapsed() < self.length {
+            while let Some((at, next)) = injections.next_if(|(at, _)| *at <= started.elapsed()) {
                 println!("{:7.3} s  {next:?}", at.as_secs_f64());
-                strike(&mut self.fleet, next, &mut later);
+                inject(&mut self.fleet, next, &mut recoveries);
             }
             let now = Instant::now();
-            let (due, kept) = later.into_iter().partition(|(at, _)| *at <= now);
-            later = kept;
+            let (due, kept) = recoveries.into_iter().partition(|(at, _)| *at <= now);
+            recoveries = kept;
             for (_, ended) in due {
                 end_fault(&mut self.fleet, ended);
             }
@@ -523,33 +527,33 @@
 
 fn command() -> Command {
     Command::new("soak")
-        .about("Runs the real programs under random faults and checks their promises")
+        .about("Runs the real programs under random faults and checks their guarantees")
         .arg(
             Arg::new("seed")
                 .long("seed")
                 .default_value("1")
                 .value_parser(value_parser!(u64))
-                .help("Seed of the first soak; it alone decides the schedule of faults"),
+                .help("Seed of the first soak; determines the schedule of faults"),
         )
         .arg(
             Arg::new("seeds")
                 .long("seeds")
                 .default_value("1")
                 .value_parser(value_parser!(u64))
-                .help("How many soaks to run, one seed after the other"),
+                .help("Number of soaks to run, with consecutive seeds"),
         )
         .arg(
             Arg::new("for")
                 .long("for")
                 .default_value("20s")
-                .help("How long each runs, such as 60s; the last 6 s are calm"),
+                .help("Length of each soak, such as 60s; no new faults in the last 6 s"),
         )
         .arg(
             Arg::new("network")
                 .long("network")
                 .default_value("90")
                 .value_parser(value_parser!(u8))
-                .help("Loopback network 127.N, to run several at once"),
+                .help("Loopback network 127.N; must differ between concurrent soaks"),
         )
         .arg(
             Arg::new("program")
@@ -562,26 +566,26 @@
                 .long("folder")
                 .default_value("target/soak")
                 .value_parser(value_parser!(PathBuf))
-                .help("Where settings files and logs are left"),
+                .help("Folder for settings files and logs"),
         )
 }
 
-/// A length such as `60s`.
+/// Parses `--for`, such as `60s`. Returns none unless it is longer than the calm period.
 fn length_of(args: &ArgMatches) -> Option<Duration> {
     let text = args.get_one::<String>("for")?;
     let seconds = text.strip_suffix('s').unwrap_or(text).parse().ok()?;
     let length = Duration::from_secs(seconds);
-    (length > CALM).then_some(length)
+    (length > CALM_PERIOD).then_some(length)
 }
 
 fn program_of(args: &ArgMatches) -> PathBuf {
-    let beside = || {
+    let default_path = || {
         let own = std::env::current_exe().unwrap_or_default();
         own.with_file_name("trestleknot")
     };
     args.get_one::<PathBuf>("program")
         .cloned()
-        .unwrap_or_else(beside)
+        .unwrap_or_else(default_path)
 }
 
 fn main() -> ExitCode {
--- a/lib/testutils/src/caller.rs
+++ b/lib/testutils/src/caller.rs
@@ -1,4 +1,4 @@
-//! Callers: submit jobs over HTTP in an open loop and keep what they hear.
+//! Callers that submit jobs over HTTP in an open loop and record the answers.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,46 +13,46 @@
 use trestleknot_lib::job::Answer;
 use trestleknot_lib::memory_target::TaskScript;
 
-/// Longest wait for an answer, beyond every deadline.
-const ANSWER_LIMIT: Millis = Millis(120_000);
-/// Largest answer read.
-const MOST_BODY: usize = 16 << 20;
+/// Response timeout, longer than any job's deadline.
+const RESPONSE_TIMEOUT: Millis = Millis(120_000);
+/// Largest response body, in bytes.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// A job to submit at a time.
+/// A job to submit at a given time.
 #[derive(Debug, Clone)]
 pub struct PlannedJob {
-    /// When, counted from the start of the load.
+    /// Submission time, from the start of the load.
     pub at: Duration,
-    /// Key of its team.
+    /// API key of the team.
     pub key: String,
-    /// Kind of its tasks.
+    /// Kind of the tasks.
     pub kind: String,
-    /// Real run times of its tasks in milliseconds.
+    /// Actual run time of each task in milliseconds.
     pub run_ms: Vec<u64>,
     /// Declared run time of each task in milliseconds.
     pub declared_ms: u32,
     /// Deadline in milliseconds.
     pub deadline_ms: u64,
-    /// Whether to give it up after this: the caller goes away.
+    /// The caller disconnects after this time, if set.
     pub give_up_after: Option<Duration>,
-    /// Distinguishes its tasks from all others.
+    /// Unique name, part of the task ids.
     pub name: String,
 }
 
 impl PlannedJob {
-    /// The fastest that it could be answered with so many slots, the round trip left out.
+    /// Shortest possible response time on `slots` slots, without the round trip.
     pub fn ideal(&self, slots: u32) -> Duration {
         let longest = self.run_ms.iter().max().copied().unwrap_or(0);
         let total: u64 = self.run_ms.iter().sum();
         Duration::from_millis(longest.max(total / u64::from(slots.max(1))))
     }
 
-    /// Name of a task in the record of starts.
+    /// Id of a task in the record of starts.
     pub fn task_id(&self, index: usize) -> String {
         format!("{}/{index}", self.name)
     }
 
-    /// Payload of a task, which the stand-in target answers with.
+    /// Payload of a task. The stand-in target returns it as the result.
     fn payload(&self, index: usize) -> String {
         let script = TaskScript {
             run_ms: self.run_ms[index],
@@ -75,8 +75,8 @@
         json!({ "tasks": tasks, "deadline_ms": self.deadline_ms })
     }
 
-    /// Whether an answer is whole and its own: every result is that of the task in its place.
-    fn owns(&self, results: &[std::sync::Arc<str>]) -> bool {
+    /// Whether the answer has every task's own result, in order.
+    fn has_own_results(&self, results: &[std::sync::Arc<str>]) -> bool {
         results.len() == self.run_ms.len()
             && results
                 .iter()
@@ -85,42 +85,42 @@
     }
 }
 
-/// What a caller heard.
+/// Outcome of a job as its caller saw it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Heard {
-    /// The whole answer to its own request.
+    /// Answered with the results of all its tasks.
     Complete,
-    /// An answer that is not whole or not its own: a broken promise.
+    /// Answered with missing or foreign results, which is a violation.
     Wrong,
-    /// Failed.
+    /// Answered as failed.
     Failed(Answer),
-    /// Refused.
+    /// Refused by the entry.
     Refused(Answer),
     /// The connection ended without an answer.
     Nothing,
-    /// It went away itself.
+    /// The caller disconnected before the answer.
     GaveUp,
 }
 
-/// A submitted job and what came of it.
+/// A submitted job and its outcome.
 #[derive(Debug, Clone)]
 pub struct JobRecord {
-    /// The job.
+    /// The submitted job.
     pub job: PlannedJob,
-    /// What was heard.
+    /// Outcome.
     pub heard: Heard,
-    /// From the planned time to the answer, so that waiting to be sent is not hidden.
+    /// Time from the planned submission to the answer; includes any delay in sending.
     pub response: Duration,
-    /// When it was answered, from the start of the load.
+    /// Time of the answer, from the start of the load.
     pub answered_at: Duration,
 }
 
-/// Where to send the next job.
-pub type Choose = Rc<dyn Fn(usize) -> SocketAddr>;
+/// Chooses the entry's address for the job with the given index.
+pub type ChooseAddress = Rc<dyn Fn(usize) -> SocketAddr>;
 
-/// Submits jobs at their times, whatever becomes of earlier ones, and waits for all answers.
+/// Submits each job at its time without waiting for earlier answers, then waits for all answers.
 /// Must run on an ntex system.
-pub async fn submit_all(jobs: Vec<PlannedJob>, choose: Choose) -> Vec<JobRecord> {
+pub async fn submit_all(jobs: Vec<PlannedJob>, choose: ChooseAddress) -> Vec<JobRecord> {
     let client = new_client().await;
     let began = Instant::now();
     let records = Rc::new(RefCell::new(Vec::with_capacity(jobs.len())));
@@ -134,7 +134,7 @@
         let client = client.clone();
         let records = records.clone();
         handles.push(ntex::rt::spawn(async move {
-            let heard = submit_or_give_up(&client, address, &job).await;
+            let heard = submit_with_limit(&client, address, &job).await;
             let answered_at = began.elapsed();
             records.borrow_mut().push(JobRecord {
                 response: answered_at.saturating_sub(job.at),
@@ -150,21 +150,21 @@
     records.take()
 }
 
-/// A client that keeps its connections.
+/// Creates an HTTP client that keeps connections alive.
 pub async fn new_client() -> Client {
     let connector = Connector::new()
         .limit(MOST_CONNECTIONS)
         .keep_alive(Seconds(30));
     Client::builder()
         .connector::<()>(connector)
-        .response_timeout(ANSWER_LIMIT)
-        .response_payload_limit(MOST_BODY)
+        .response_timeout(RESPONSE_TIMEOUT)
+        .response_payload_limit(MAX_BODY_BYTES)
         .build(ntex::SharedCfg::default())
         .await
         .expect("a client without TLS can always be built")
 }
 
-async fn submit_or_give_up(client: &Client, address: SocketAddr, job: &PlannedJob) -> Heard {
+async fn submit_with_limit(client: &Client, address: SocketAddr, job: &PlannedJob) -> Heard {
     let submission = submit(client, address, job);
     match job.give_up_after {
         None => submission.await,
@@ -181,11 +181,11 @@
     let Ok(response) = request.send_json(&job.body()).await else {
         return Heard::Nothing;
     };
-    let Ok(body) = response.body().limit(MOST_BODY).await else {
+    let Ok(body) = response.body().limit(MAX_BODY_BYTES).await else {
         return Heard::Nothing;
     };
     match serde_json::from_slice(&body) {
-        Ok(Answer::Complete { results, .. }) if job.owns(&results) => Heard::Complete,
+        Ok(Answer::Complete { results, .. }) if job.has_own_results(&results) => Heard::Complete,
         Ok(Answer::Complete { .. }) => Heard::Wrong,
         Ok(answer @ Answer::Failed { .. }) => Heard::Failed(answer),
         Ok(answer @ Answer::Refused { .. }) => Heard::Refused(answer),
--- a/lib/testutils/src/central_queue.rs
+++ b/lib/testutils/src/central_queue.rs
@@ -1,7 +1,7 @@
-//! The yardstick: one queue for the whole fleet that knows everything at once and costs nothing.
+//! The baseline for placements: one ideal queue for the whole fleet, without any overhead.
 //!
 //! Tasks start in the order of their jobs' arrival, the longest of a job first, as soon as any
-//! slot is free. What a real placement lags behind this is its own; the rest is the load's.
+//! slot is free. The difference from this baseline is the overhead of a placement.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,7 +9,7 @@
 
 use crate::caller::{Heard, JobRecord, PlannedJob};
 
-/// The records that such a queue would have given.
+/// The records that the ideal queue produces for `jobs`.
 pub fn records(jobs: &[PlannedJob], slots: u32) -> Vec<JobRecord> {
     let mut free_at: BinaryHeap<Reverse<Duration>> =
         (0..slots).map(|_| Reverse(Duration::ZERO)).collect();
@@ -17,14 +17,14 @@
 }
 
 fn record(job: &PlannedJob, free_at: &mut BinaryHeap<Reverse<Duration>>) -> JobRecord {
-    let mut runs = job.run_ms.clone();
-    runs.sort_unstable_by_key(|ms| Reverse(*ms));
+    let mut run_times = job.run_ms.clone();
+    run_times.sort_unstable_by_key(|ms| Reverse(*ms));
     let mut answered_at = job.at;
-    for ms in runs {
-        let Some(Reverse(free)) = free_at.pop() else {
+    for ms in run_times {
+        let Some(Reverse(slot_free_at)) = free_at.pop() else {
             break;
         };
-        let end = free.max(job.at) + Duration::from_millis(ms);
+        let end = slot_free_at.max(job.at) + Duration::from_millis(ms);
         free_at.push(Reverse(end));
         answered_at = answered_at.max(end);
     }
--- a/lib/testutils/src/embedded.rs
+++ b/lib/testutils/src/embedded.rs
@@ -1,4 +1,4 @@
-//! A whole fleet in one process: real daemons on loopback sockets, beside the stand-ins.
+//! A fleet in one process: the real daemons on loopback sockets, with stand-ins for the platform.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -19,18 +19,18 @@
 
 use crate::stand_ins::{Placed, Service, StandIns};
 
-/// Secret of embedded fleets.
+/// Fleet secret of embedded fleets.
 pub const SECRET: &str = "an embedded fleet's secret";
-/// Any free port of this machine.
+/// Any free loopback port.
 const ANY_PORT: &str = "127.0.0.1:0";
-/// Position of the log among the stand-ins.
-const LOG: usize = 0;
-/// Position of the VM list among the stand-ins.
-const LIST: usize = 1;
-/// Position of the first target among the stand-ins.
-const FIRST_TARGET: usize = 2;
+/// Index of the log among the stand-ins.
+const LOG_INDEX: usize = 0;
+/// Index of the VM list among the stand-ins.
+const VM_LIST_INDEX: usize = 1;
+/// Index of the first target among the stand-ins.
+const FIRST_TARGET_INDEX: usize = 2;
 
-/// What a fleet is made of.
+/// Size and configuration of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetPlan {
     /// Number of entries.
@@ -39,44 +39,44 @@
     pub targets: usize,
     /// Slots of each target.
     pub slots: u32,
-    /// Data halls, dealt out in turn.
+    /// Data halls, assigned round-robin.
     pub halls: Vec<String>,
     /// Teams with their keys and quotas.
     pub teams: Vec<TeamPlan>,
-    /// Placement instead of the configuration's.
+    /// Overrides the configuration's placement.
     pub placement: Option<PlacementMode>,
-    /// Base address of a collector of spans.
+    /// Base URL of an OTLP trace collector.
     pub otlp_url: Option<String>,
 }
 
 /// A team of a fleet.
 #[derive(Debug, Clone)]
 pub struct TeamPlan {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// Its key.
+    /// API key.
     pub key: String,
-    /// Its quota.
+    /// Quota.
     pub quota: u32,
 }
 
 /// An entry of a fleet.
 pub struct FleetEntry {
-    /// Its name on the VM list.
+    /// Name on the VM list.
     pub name: String,
-    /// Where callers reach it.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// The daemon, until it is stopped.
+    /// The daemon; none once it is stopped.
     pub daemon: Option<EntryDaemon>,
 }
 
 /// A target of a fleet with its agent.
 pub struct FleetTarget {
-    /// Its name on the VM list.
+    /// Name on the VM list.
     pub name: String,
-    /// The target.
+    /// The stand-in target.
     pub target: MemoryTarget,
-    /// The agent, until it is stopped.
+    /// The agent; none once it is stopped.
     pub agent: Option<AgentDaemon>,
 }
 
@@ -86,18 +86,18 @@
     pub entries: Vec<FleetEntry>,
     /// Targets.
     pub targets: Vec<FleetTarget>,
-    /// The log.
+    /// The stand-in log.
     pub log: MemoryLog,
-    /// The VM list.
+    /// The stand-in VM list.
     pub vms: MemoryVmList,
-    /// Starts of tasks on all targets.
+    /// Task starts on all targets.
     pub starts: StartRecord,
     plan: FleetPlan,
     stand_ins: StandIns,
 }
 
 impl Fleet {
-    /// Starts a fleet and applies a configuration with its teams.
+    /// Starts a fleet and applies a configuration with the plan's teams.
     pub fn start(plan: FleetPlan) -> io::Result<Self> {
         let log = MemoryLog::default();
         let vms = MemoryVmList::default();
@@ -144,8 +144,8 @@
             operator_listen: any_port(),
             entries: Vec::new(),
             fleet_secret: SECRET.to_owned(),
-            log_url: self.stand_ins.url(LOG),
-            vm_list_url: self.stand_ins.url(LIST),
+            log_url: self.stand_ins.url(LOG_INDEX),
+            vm_list_url: self.stand_ins.url(VM_LIST_INDEX),
             http_workers: 2,
             body_limit: 4 << 20,
             drain_limit_ms: 20_000,
@@ -190,14 +190,14 @@
         Ok(())
     }
 
-    /// Starts an agent beside a target: at first, or a new life of one that was killed.
+    /// Starts an agent for a target, with a new incarnation number.
     fn start_agent(&self, name: &str, index: usize) -> io::Result<AgentDaemon> {
         let entries = self.entries.iter().filter_map(|e| e.daemon.as_ref());
         let incarnation = rand::random();
         let settings = AgentSettings {
             name: name.to_owned(),
             hall: self.hall(index),
-            target_url: self.stand_ins.url(FIRST_TARGET + index),
+            target_url: self.stand_ins.url(FIRST_TARGET_INDEX + index),
             slots: self.plan.slots,
             memory_mib: 65_536,
             accelerators: 0,
@@ -221,15 +221,15 @@
         })
     }
 
-    /// Kills an entry as a crash does. The VM list still shows it for a while.
+    /// Kills an entry without a drain, as a crash does. It stays on the VM list.
     pub fn kill_entry(&mut self, index: usize) {
         if let Some(daemon) = self.entries[index].daemon.take() {
-            // On a thread of its own, so that it holds up no caller on this one.
+            // A separate thread keeps the callers on this one running.
             std::thread::spawn(move || daemon.kill());
         }
     }
 
-    /// Kills a target with its agent, as the death of the VM does, and takes it off the list.
+    /// Kills a target and its agent, as a VM failure does, and removes the VM from the list.
     pub fn kill_target(&mut self, index: usize) {
         let target = &mut self.targets[index];
         target.target.kill();
@@ -239,7 +239,7 @@
         self.vms.remove(&target.name);
     }
 
-    /// Kills an agent and starts its next life beside the same target.
+    /// Kills an agent and starts a new incarnation for the same target.
     pub fn restart_agent(&mut self, index: usize) -> io::Result<()> {
         if let Some(agent) = self.targets[index].agent.take() {
             agent.kill();
@@ -250,25 +250,25 @@
         Ok(())
     }
 
-    /// Addresses for callers of the entries that run.
+    /// Caller addresses of the running entries.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         let live = self.entries.iter().filter(|e| e.daemon.is_some());
         live.map(|e| e.callers).collect()
     }
 
-    /// Addresses for operators of the entries that run.
+    /// Operator addresses of the running entries.
     pub fn operator_addresses(&self) -> Vec<SocketAddr> {
         let live = self.entries.iter().filter_map(|e| e.daemon.as_ref());
         live.map(|d| d.operator_address).collect()
     }
 
-    /// Slots of the targets that run.
+    /// Total slots of the targets whose agent runs.
     pub fn slots(&self) -> u32 {
         let live = self.targets.iter().filter(|t| t.agent.is_some());
         live.count() as u32 * self.plan.slots
     }
 
-    /// Stops everything in order: entries first, so that nothing in flight is cut off.
+    /// Drains the entries and then the agents, which lets jobs in flight finish.
     pub fn stop(mut self) -> StopReport {
         let began = Instant::now();
         for entry in &self.entries {
@@ -295,10 +295,10 @@
     }
 }
 
-/// How a fleet's stop went.
+/// Result of stopping a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct StopReport {
-    /// How long it took.
+    /// Time that the stop took.
     pub took: Duration,
 }
 
@@ -306,7 +306,7 @@
     ANY_PORT.parse().expect("a constant address")
 }
 
-/// The document of a fleet's teams.
+/// The configuration document for a fleet's teams.
 pub fn document_of(plan: &FleetPlan) -> Document {
     let teams = plan.teams.iter().map(|team| {
         let value = Team {
--- a/lib/testutils/src/fault_proxy.rs
+++ b/lib/testutils/src/fault_proxy.rs
@@ -1,7 +1,8 @@
-//! Loopback proxies that harm connections from outside: they delay, silence, cut one way and reset.
+//! Loopback TCP proxies that inject network faults: delays, stalls in one or both directions and
+//! resets.
 //!
-//! Bytes are never changed or lost on a connection that stays open; what a silent proxy holds is
-//! delivered late, as after a partition that heals.
+//! Bytes are never changed or lost on a connection that stays open; a proxy delivers what it held
+//! back once the fault ends, as after a network partition.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,83 +14,83 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// How often a silent proxy looks whether it may go on.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
-/// Bytes read at a time.
-const CHUNK: usize = 16 * 1024;
+/// Interval at which a stalled connection checks whether the fault has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Size of the read buffer in bytes.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What a proxy does to the bytes that pass.
+/// Fault that a proxy applies to its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Harm {
-    /// Nothing.
+pub enum ProxyFault {
+    /// No fault.
     None,
-    /// Each read waits for so long.
+    /// Each chunk is forwarded after this delay.
     Delay(Duration),
-    /// Requests are held.
+    /// Bytes towards the server are held back.
     SilentThere,
-    /// Answers are held.
+    /// Bytes towards the client are held back.
     SilentBack,
-    /// Both are held.
+    /// Both directions are held back.
     Silent,
 }
 
-/// Which way bytes go.
+/// Direction of a byte stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
-    There,
-    Back,
+enum Direction {
+    ToServer,
+    ToClient,
 }
 
-impl Harm {
-    fn holds(self, way: Way) -> bool {
+impl ProxyFault {
+    fn blocks(self, direction: Direction) -> bool {
         match self {
             Self::None | Self::Delay(_) => false,
-            Self::SilentThere => way == Way::There,
-            Self::SilentBack => way == Way::Back,
+            Self::SilentThere => direction == Direction::ToServer,
+            Self::SilentBack => direction == Direction::ToClient,
             Self::Silent => true,
         }
     }
 }
 
-/// A proxy from one address to another; it ends when it is dropped.
+/// A proxy from one address to another. Dropping it stops its thread.
 pub struct FaultProxy {
-    harm: Arc<Mutex<Harm>>,
-    /// Counts resets; none once the proxy ends.
+    fault: Arc<Mutex<ProxyFault>>,
+    /// Number of resets so far; none once the proxy shuts down.
     resets: Option<watch::Sender<u64>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl FaultProxy {
-    /// Listens at `address` for connections to `target`, on a thread of its own.
+    /// Listens on `address` and forwards to `target`, on a separate thread.
     pub fn start(address: SocketAddr, target: SocketAddr) -> io::Result<Self> {
         let listener = std::net::TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
-        let harm = Arc::new(Mutex::new(Harm::None));
-        let (resets, resets_seen) = watch::channel(0);
-        let carrier = Carrier {
+        let fault = Arc::new(Mutex::new(ProxyFault::None));
+        let (resets, resets_rx) = watch::channel(0);
+        let forwarder = Forwarder {
             target,
-            harm: harm.clone(),
-            resets: resets_seen,
+            fault: fault.clone(),
+            resets: resets_rx,
         };
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
         let thread = std::thread::Builder::new()
             .name(format!("proxy {address}"))
-            .spawn(move || runtime.block_on(carrier.accept_all(listener)))?;
+            .spawn(move || runtime.block_on(forwarder.accept_all(listener)))?;
         Ok(Self {
-            harm,
+            fault,
             resets: Some(resets),
             thread: Some(thread),
         })
     }
 
-    /// Sets what is done to all connections from now on.
-    pub fn set_harm(&self, harm: Harm) {
-        *self.harm.lock().unwrap_or_else(PoisonError::into_inner) = harm;
+    /// Sets the fault for all present and future connections.
+    pub fn set_fault(&self, fault: ProxyFault) {
+        *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
-    /// Resets all connections that stand.
+    /// Resets all open connections.
     pub fn reset(&self) {
         if let Some(resets) = &self.resets {
             resets.send_modify(|count| *count += 1);
@@ -103,29 +104,29 @@
         if let Some(thread) = self.thread.take()
             && thread.join().is_err()
         {
-            println!("a proxy's thread has panicked");
+            println!("a fault proxy thread panicked");
         }
     }
 }
 
-/// What the thread of a proxy works with.
+/// State that the connections of a proxy share.
 #[derive(Clone)]
-struct Carrier {
+struct Forwarder {
     target: SocketAddr,
-    harm: Arc<Mutex<Harm>>,
+    fault: Arc<Mutex<ProxyFault>>,
     resets: watch::Receiver<u64>,
 }
 
-impl Carrier {
-    fn harm(&self) -> Harm {
-        *self.harm.lock().unwrap_or_else(PoisonError::into_inner)
+impl Forwarder {
+    fn fault(&self) -> ProxyFault {
+        *self.fault.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn accept_all(self, listener: std::net::TcpListener) {
         let listener = match TcpListener::from_std(listener) {
             Ok(listener) => listener,
             Err(e) => {
-                println!("a proxy can't listen: {e}");
+                println!("a fault proxy can't listen: {e}");
                 return;
             }
         };
@@ -133,8 +134,8 @@
         loop {
             tokio::select! {
                 accepted = listener.accept() => match accepted {
-                    Ok((near, _)) => drop(tokio::spawn(self.clone().carry(near))),
-                    Err(e) => println!("a proxy can't accept: {e}"),
+                    Ok((client, _)) => drop(tokio::spawn(self.clone().forward_connection(client))),
+                    Err(e) => println!("a fault proxy can't accept a connection: {e}"),
                 },
                 changed = resets.changed() => if changed.is_err() {
                     return;
@@ -143,24 +144,24 @@
         }
     }
 
-    async fn carry(self, mut near: TcpStream) {
+    async fn forward_connection(self, mut client: TcpStream) {
         let mut resets = self.resets.clone();
         resets.mark_unchanged();
-        let Ok(mut far) = TcpStream::connect(self.target).await else {
-            // A port that is closed resets; so does the proxy before it.
-            let _ = near.set_zero_linger();
+        let Ok(mut server) = TcpStream::connect(self.target).await else {
+            // A closed port answers with a reset, and the proxy does the same.
+            let _ = client.set_zero_linger();
             return;
         };
-        let _ = (near.set_nodelay(true), far.set_nodelay(true));
-        let (near_read, near_write) = near.split();
-        let (far_read, far_write) = far.split();
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let (client_read, client_write) = client.split();
+        let (server_read, server_write) = server.split();
         let is_reset = tokio::select! {
-            _ = self.forward(near_read, far_write, Way::There) => false,
-            _ = self.forward(far_read, near_write, Way::Back) => false,
+            _ = self.forward(client_read, server_write, Direction::ToServer) => false,
+            _ = self.forward(server_read, client_write, Direction::ToClient) => false,
             _ = resets.changed() => true,
         };
         if is_reset {
-            let _ = (near.set_zero_linger(), far.set_zero_linger());
+            let _ = (client.set_zero_linger(), server.set_zero_linger());
         }
     }
 
@@ -168,19 +169,19 @@
         &self,
         mut from: tokio::net::tcp::ReadHalf<'_>,
         mut to: tokio::net::tcp::WriteHalf<'_>,
-        way: Way,
+        direction: Direction,
     ) -> io::Result<()> {
-        let mut buf = vec![0; CHUNK];
+        let mut buf = vec![0; CHUNK_BYTES];
         loop {
             let read = from.read(&mut buf).await?;
             if read == 0 {
                 return Ok(());
             }
-            if let Harm::Delay(delay) = self.harm() {
+            if let ProxyFault::Delay(delay) = self.fault() {
                 tokio::time::sleep(delay).await;
             }
-            while self.harm().holds(way) {
-                tokio::time::sleep(LOOK_EVERY).await;
+            while self.fault().blocks(direction) {
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
             to.write_all(&buf[..read]).await?;
         }
--- a/lib/testutils/src/lib.rs
+++ b/lib/testutils/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for what the platform and the callers provide, for tests, the demo and measuring.
+//! Stand-ins for the platform and the callers, for tests, the demo and benchmarks.
 
 pub mod caller;
 pub mod central_queue;
--- a/lib/testutils/src/platform_stand_ins.rs
+++ b/lib/testutils/src/platform_stand_ins.rs
@@ -1,5 +1,4 @@
-//! Stand-ins that speak the platform's protocol over HTTP: its store and its targets, with faults
-//! that can be set while they run.
+//! HTTP stand-ins for the platform's store and targets, with faults that can be set at run time.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -22,24 +21,24 @@
 
 use crate::run_target::{RunTarget, StartRequest};
 
-/// How often waiting calls look again.
-const LOOK_EVERY: Duration = Duration::from_millis(4);
-/// How long a silent stand-in keeps a connection open.
-const SILENCE: Duration = Duration::from_secs(20);
+/// Interval at which a waiting call checks for news.
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
+/// Time for which a silent stand-in keeps a connection open.
+const SILENCE_DURATION: Duration = Duration::from_secs(20);
 
-/// How calls to a stand-in go wrong.
+/// Fault that a stand-in applies to calls.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// They don't.
+    /// No fault.
     #[default]
     None,
-    /// Answered with this status; nothing is done.
+    /// Calls have no effect and get this status.
     Status(u16),
-    /// Nothing is done, and no answer comes.
+    /// Calls have no effect and get no answer.
     Silent,
-    /// It is done, and no answer comes.
+    /// Calls take effect and get no answer.
     LostAnswer,
-    /// Answered after this pause.
+    /// Calls are processed after this delay.
     Slow(Duration),
 }
 
@@ -52,7 +51,7 @@
 struct Topic {
     name: String,
     records: Vec<(String, Vec<u8>)>,
-    /// Offset of the first record that is kept.
+    /// Offset of the first retained record.
     first: u64,
 }
 
@@ -62,47 +61,47 @@
     }
 }
 
-/// The newest record of a key: topic, key, value.
-type Newest = (String, String, Vec<u8>);
+/// Newest record of a key: topic, key and value.
+type NewestRecord = (String, String, Vec<u8>);
 
-/// The store. Clones share it.
+/// Stand-in for the store. Clones share the data.
 #[derive(Clone, Default)]
 pub struct StoreStandIn {
     topics: Arc<Mutex<Vec<Topic>>>,
-    newest: Arc<Mutex<Vec<Newest>>>,
+    newest: Arc<Mutex<Vec<NewestRecord>>>,
     fault: Arc<Mutex<Fault>>,
     calls: Arc<Mutex<u64>>,
 }
 
 impl StoreStandIn {
-    /// Sets what goes wrong.
+    /// Sets the fault for all calls.
     pub fn set_fault(&self, fault: Fault) {
         *lock(&self.fault) = fault;
     }
 
-    /// Calls so far.
+    /// Number of calls so far.
     pub fn calls(&self) -> u64 {
         *lock(&self.calls)
     }
 
-    /// An operator publishes a configuration.
+    /// Publishes a configuration, as an operator does.
     pub fn publish(&self, table: &QueueTable) {
         let value = stand_in_format::encode_config(table).into_bytes();
         self.append(names::OPERATOR_TOPIC, names::CONFIG_KEY, value);
     }
 
-    /// An operator writes anything under a key.
+    /// Writes any value under a key of the operators' topic.
     pub fn publish_raw(&self, key: &str, value: &[u8]) {
         self.append(names::OPERATOR_TOPIC, key, value.to_vec());
     }
 
-    /// An operator evacuates a data hall.
+    /// Evacuates a data hall, as an operator does.
     pub fn evacuate(&self, hall: &str) {
         let key = format!("{}{hall}", names::EVACUATION_KEY);
         self.append(names::OPERATOR_TOPIC, &key, b"{}".to_vec());
     }
 
-    /// An operator takes a data hall back.
+    /// Withdraws the evacuation of a data hall, as an operator does.
     pub fn give_back(&self, hall: &str) {
         let key = format!("{}{hall}", names::EVACUATION_KEY);
         self.append(names::OPERATOR_TOPIC, &key, Vec::new());
@@ -127,7 +126,7 @@
         }
     }
 
-    /// Drops all records; the newest of each key stay readable as such.
+    /// Drops all records. The newest of each key can still be read with a newest call.
     pub fn trim(&self) {
         for topic in lock(&self.topics).iter_mut() {
             topic.first = topic.end();
@@ -144,7 +143,7 @@
         Some(stand_in_format::encode_newest(&items, found.end()))
     }
 
-    /// Records from an offset on; an error names the first offset kept.
+    /// Records from `from` on. Fails with the first retained offset if `from` precedes it.
     fn read(&self, topic: &str, from: u64) -> Result<Option<Vec<u8>>, u64> {
         let topics = lock(&self.topics);
         let Some(found) = topics.iter().find(|t| t.name == topic) else {
@@ -163,7 +162,7 @@
     }
 }
 
-/// A target. Clones share it.
+/// Stand-in for a target. Clones share the state.
 #[derive(Clone)]
 pub struct TargetStandIn {
     target: Arc<Mutex<RunTarget>>,
@@ -172,7 +171,8 @@
 }
 
 impl TargetStandIn {
-    /// A target that counts time from `origin`, so that the records of several can be compared.
+    /// Creates a target that counts time from `origin`. Targets with the same origin have comparable
+    /// records.
     pub fn new(origin: Instant, target: RunTarget) -> Self {
         Self {
             target: Arc::new(Mutex::new(target)),
@@ -181,12 +181,12 @@
         }
     }
 
-    /// Sets what goes wrong with orders.
+    /// Sets the fault for orders.
     pub fn set_fault(&self, fault: Fault) {
         *lock(&self.fault) = fault;
     }
 
-    /// The target, brought up to now.
+    /// The target, advanced to the present time.
     pub fn target(&self) -> MutexGuard<'_, RunTarget> {
         let now = self.now();
         let mut target = lock(&self.target);
@@ -199,11 +199,11 @@
         self.origin.elapsed()
     }
 
-    async fn serve(&self, path: &str, life: Option<Arc<str>>, body: &[u8]) -> HttpResponse {
+    async fn serve(&self, path: &str, target_name: Option<Arc<str>>, body: &[u8]) -> HttpResponse {
         let answer = match path {
-            names::START => self.start(life, body),
-            names::STOP => self.stop(life.as_deref(), body),
-            names::RENEW => self.renew(life, body).await,
+            names::START => self.start(target_name, body),
+            names::STOP => self.stop(target_name.as_deref(), body),
+            names::RENEW => self.renew(target_name, body).await,
             _ => Ok(Some((404, String::new()))),
         };
         match answer {
@@ -213,14 +213,14 @@
         }
     }
 
-    fn start(&self, life: Option<Arc<str>>, body: &[u8]) -> Served {
+    fn start(&self, target_name: Option<Arc<str>>, body: &[u8]) -> OrderResult {
         let order = OrderBody::decode(body)?;
         let request = StartRequest {
             key: order.key()?,
             payload: order.payload.into(),
             until: order.lease_until,
             token: order.token,
-            life,
+            life: target_name,
             is_late: false,
         };
         let now = self.now();
@@ -228,17 +228,17 @@
         Ok(stand_in_format::encode_start_answer(&answer))
     }
 
-    fn stop(&self, life: Option<&str>, body: &[u8]) -> Served {
+    fn stop(&self, target_name: Option<&str>, body: &[u8]) -> OrderResult {
         let order = OrderBody::decode(body)?;
         let now = self.now();
-        lock(&self.target).stop(now, order.key()?, order.token, life);
+        lock(&self.target).stop(now, order.key()?, order.token, target_name);
         let clock = now.as_millis() as u64;
         Ok(stand_in_format::encode_start_answer(
             &StartAnswer::Started { clock },
         ))
     }
 
-    async fn renew(&self, life: Option<Arc<str>>, body: &[u8]) -> Served {
+    async fn renew(&self, target_name: Option<Arc<str>>, body: &[u8]) -> OrderResult {
         let order = RenewalBody::decode(body)?;
         let until = self.now() + Duration::from_millis(order.wait_ms);
         let mut lease = order.lease_until;
@@ -251,19 +251,20 @@
                     order.token,
                     lease.take(),
                     order.last_seen,
-                    life.as_deref(),
+                    target_name.as_deref(),
                 )
             };
-            let waits = matches!(&answer, RenewalAnswer::Lists { ended, .. } if ended.is_empty());
-            if !waits || now >= until {
+            let is_pending =
+                matches!(&answer, RenewalAnswer::Lists { ended, .. } if ended.is_empty());
+            if !is_pending || now >= until {
                 return Ok(stand_in_format::encode_renewal_answer(&answer));
             }
-            ntex::time::sleep(LOOK_EVERY).await;
+            ntex::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-type Served = Result<Option<(u16, String)>, String>;
+type OrderResult = Result<Option<(u16, String)>, String>;
 
 fn respond(status: u16, body: impl Into<Bytes>) -> HttpResponse {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -271,19 +272,21 @@
 }
 
 async fn silence() -> HttpResponse {
-    ntex::time::sleep(SILENCE).await;
+    ntex::time::sleep(SILENCE_DURATION).await;
     HttpResponse::InternalServerError().finish()
 }
 
-/// A value of the query; it holds no escapes.
-fn query<'a>(req: &'a HttpRequest, name: &str) -> Option<&'a str> {
+/// Value of a query parameter, without percent-decoding.
+fn query_value<'a>(req: &'a HttpRequest, name: &str) -> Option<&'a str> {
     let pairs = req.query_string().split('&');
     let mut pairs = pairs.filter_map(|p| p.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-fn number(req: &HttpRequest, name: &str) -> u64 {
-    query(req, name).and_then(|v| v.parse().ok()).unwrap_or(0)
+fn query_number(req: &HttpRequest, name: &str) -> u64 {
+    query_value(req, name)
+        .and_then(|v| v.parse().ok())
+        .unwrap_or(0)
 }
 
 async fn serve_store(req: HttpRequest, body: Bytes, store: State<StoreStandIn>) -> HttpResponse {
@@ -303,23 +306,23 @@
 }
 
 async fn answer_store(req: &HttpRequest, body: &[u8], store: &StoreStandIn) -> HttpResponse {
-    let topic = query(req, "topic").unwrap_or_default();
+    let topic = query_value(req, "topic").unwrap_or_default();
     match (req.method(), req.path()) {
         (&Method::GET, names::LOG_NEWEST) => match store.newest_of(topic) {
             Some(body) => respond(200, body),
             None => respond(404, ""),
         },
         (&Method::GET, names::LOG_READ) => {
-            let until = Instant::now() + Duration::from_millis(number(req, names::WAIT));
+            let until = Instant::now() + Duration::from_millis(query_number(req, names::WAIT));
             loop {
-                match store.read(topic, number(req, "from")) {
+                match store.read(topic, query_number(req, "from")) {
                     Err(_) => return respond(410, ""),
                     Ok(Some(body)) => return respond(200, body),
                     Ok(None) if Instant::now() >= until => {
-                        let end = number(req, "from");
+                        let end = query_number(req, "from");
                         return respond(200, stand_in_format::encode_read(end, 0, &[]));
                     }
-                    Ok(None) => ntex::time::sleep(LOOK_EVERY).await,
+                    Ok(None) => ntex::time::sleep(POLL_INTERVAL).await,
                 }
             }
         }
@@ -343,8 +346,8 @@
 
 async fn serve_target(req: HttpRequest, body: Bytes, target: State<TargetStandIn>) -> HttpResponse {
     let fault = *lock(&target.fault);
-    let life = req.headers().get(names::EXPECT_LIFE);
-    let life = life.and_then(|h| h.to_str().ok()).map(Arc::from);
+    let target_name = req.headers().get(names::EXPECT_LIFE);
+    let target_name = target_name.and_then(|h| h.to_str().ok()).map(Arc::from);
     match fault {
         Fault::Status(status) => return respond(status, ""),
         Fault::Silent => return silence().await,
@@ -352,14 +355,14 @@
         Fault::None | Fault::LostAnswer => {}
     }
     let is_mute = lock(&target.target).trouble.is_mute;
-    let response = target.serve(req.path(), life, &body).await;
+    let response = target.serve(req.path(), target_name, &body).await;
     if fault == Fault::LostAnswer || is_mute {
         return silence().await;
     }
     response
 }
 
-/// What stands in.
+/// Service that a stand-in provides.
 pub enum StandIn {
     /// The store.
     Store(StoreStandIn),
@@ -367,20 +370,20 @@
     Target(TargetStandIn),
 }
 
-/// A running stand-in.
+/// A running stand-in. Dropping it stops the server.
 pub struct Running {
     end: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Starts a stand-in on an address.
+/// Starts a stand-in on `address`.
 pub fn start(address: SocketAddr, stand_in: StandIn) -> io::Result<Running> {
     let listener = TcpListener::bind(address)?;
-    let (end, ended) = oneshot::channel();
+    let (end, end_rx) = oneshot::channel();
     let thread = spawn("stand-in", move || {
         run_system("stand-in", async move {
             if let Ok(server) = serve(listener, stand_in) {
-                let _ = ended.await;
+                let _ = end_rx.await;
                 server.stop(false).await;
             }
         });
--- a/lib/testutils/src/process_fleet.rs
+++ b/lib/testutils/src/process_fleet.rs
@@ -1,4 +1,5 @@
-//! The real programs as processes on loopback addresses, one address a VM, beside the stand-ins.
+//! A fleet of the real programs as processes on loopback addresses, one address per VM, with
+//! stand-ins for the platform.
 //!
 //! Processes are ended by their ids only, also when the fleet is dropped.
 
@@ -23,9 +24,9 @@
 use crate::platform_stand_ins::{self, Running, StandIn, StoreStandIn, TargetStandIn};
 use crate::run_target::{RunTarget, SERVICE};
 
-/// Port for callers; the next two are for the balancer's question and for reports.
-const PORT: u16 = 8161;
-/// Port of links.
+/// Port for callers. The next two ports serve readiness checks and target reports.
+const CALLER_PORT: u16 = 8161;
+/// Port of links between processes.
 const LINK_PORT: u16 = 7720;
 /// Port of stand-ins.
 const STAND_IN_PORT: u16 = 8169;
@@ -33,29 +34,29 @@
 pub const HOST: &str = "queue.example";
 /// Path of the queue.
 pub const PREFIX: &str = "/q/";
-/// What each target has: eight tasks.
+/// Capacity of each target: eight tasks.
 pub const CAPACITY: Resources = Resources {
     cpu_millis: 16_000,
     memory_mib: 65_536,
     accelerators: 0,
 };
-/// The memory of a target that has lost room.
+/// Memory of a target whose CPU capacity is reduced.
 pub const MEMORY: Resources = Resources {
     cpu_millis: 0,
     memory_mib: CAPACITY.memory_mib,
     accelerators: 0,
 };
-/// What each task takes; the target's memory does not count.
+/// Resources of each task. It takes no memory, which leaves CPU as the only limit.
 pub const TASK: Resources = Resources {
     cpu_millis: 2_000,
     memory_mib: 0,
     accelerators: 0,
 };
 
-/// How long an order may be held up on its way to a target: the longest harm, and a call.
-const ROOM_GRACE: Duration = Duration::from_secs(3);
+/// Longest delay of an order to a target: the longest proxy fault plus one call.
+const LATE_ORDER_GRACE: Duration = Duration::from_secs(3);
 
-/// Which program a process runs.
+/// Program that a process runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     /// An entry.
@@ -64,18 +65,18 @@
     Agent,
 }
 
-/// A signal.
+/// Signal to a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
-    /// Stop in an orderly way.
+    /// Drain and stop (SIGTERM).
     Term,
-    /// End at once.
+    /// End immediately (SIGKILL).
     Kill,
-    /// Stand still.
+    /// Suspend (SIGSTOP).
     Stop,
-    /// Go on.
+    /// Resume (SIGCONT).
     Continue,
-    /// Read the settings again.
+    /// Reload the settings (SIGHUP).
     Hangup,
 }
 
@@ -93,55 +94,55 @@
 
 /// A process of the fleet.
 pub struct Process {
-    /// Its name.
+    /// Process name, also of its settings and log files.
     pub name: String,
-    /// What it runs.
+    /// Program that it runs.
     pub role: Role,
-    /// Its settings file.
+    /// Path of the settings file.
     pub settings: PathBuf,
     child: Option<Child>,
 }
 
-/// See the module.
+/// A fleet of processes with its stand-ins and fault proxies.
 pub struct ProcessFleet {
     program: PathBuf,
     folder: PathBuf,
     network: u8,
-    /// The store.
+    /// The stand-in store.
     pub store: StoreStandIn,
-    /// The targets.
+    /// The stand-in targets.
     pub targets: Vec<TargetStandIn>,
     /// Entries first, then agents.
     pub processes: Vec<Process>,
-    /// Between each process and the store.
+    /// Proxies between each process and the store.
     pub store_proxies: Vec<FaultProxy>,
-    /// Between each agent and its target.
+    /// Proxies between each agent and its target.
     pub target_proxies: Vec<FaultProxy>,
-    /// Between callers and each entry, for those who ask at [`Self::caller_address`].
+    /// Proxies between callers and each entry, at [`Self::caller_address`].
     pub caller_proxies: Vec<FaultProxy>,
     entries: usize,
     version: u64,
     _stand_ins: Vec<Running>,
 }
 
-/// Address of VM `host` in a network of its own: 127.`network`.0.`host`.
+/// Address of VM `host` in the fleet's network: 127.`network`.0.`host`.
 fn address(network: u8, host: u8, port: u16) -> SocketAddr {
     SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, network, 0, host)), port)
 }
 
-/// First host of entries, agents and targets.
+/// First hosts of entries, agents and targets, and the store's host.
 const ENTRY_HOST: u8 = 10;
 const AGENT_HOST: u8 = 50;
 const TARGET_HOST: u8 = 150;
 const STORE_HOST: u8 = 2;
-/// First host of the proxies before the store (one for each process), the targets and the entries.
+/// First hosts of the proxies to the store (one for each process), the targets and the entries.
 const STORE_PROXY_HOST: u8 = 90;
 const TARGET_PROXY_HOST: u8 = 190;
 const CALLER_PROXY_HOST: u8 = 210;
 
 impl ProcessFleet {
-    /// Starts a fleet. `network` must differ between fleets that run at the same time; `folder`
-    /// takes the settings files and logs.
+    /// Starts a fleet. `network` must differ between fleets that run at the same time. Settings and
+    /// log files are written to `folder`.
     pub fn start(
         program: &Path,
         folder: &Path,
@@ -159,11 +160,11 @@
         let mut targets = Vec::new();
         for index in 0..agents {
             let target = RunTarget::new(&format!("target-{index}"), CAPACITY, 1.0)
-                .with_room_grace(ROOM_GRACE);
+                .with_room_grace(LATE_ORDER_GRACE);
             let target = TargetStandIn::new(origin, target);
-            let at = address(network, TARGET_HOST + index as u8, STAND_IN_PORT);
+            let listen = address(network, TARGET_HOST + index as u8, STAND_IN_PORT);
             stand_ins.push(platform_stand_ins::start(
-                at,
+                listen,
                 StandIn::Target(target.clone()),
             )?);
             targets.push(target);
@@ -218,7 +219,7 @@
         let plan = SettingsPlan {
             name: name.clone(),
             ip: address(self.network, host + index as u8, 0).ip(),
-            port: PORT,
+            port: CALLER_PORT,
             link_port: LINK_PORT,
             seeds: entry_addresses.collect(),
             store,
@@ -232,47 +233,47 @@
             settings,
             child: None,
         });
-        let last = self.processes.len() - 1;
-        self.start_process(last)
+        let index = self.processes.len() - 1;
+        self.start_process(index)
     }
 
-    /// A proxy between the process that is added next and the store.
+    /// Starts the proxy to the store for the process that is added next.
     fn proxy_to_store(&mut self) -> io::Result<SocketAddr> {
         let host = STORE_PROXY_HOST + self.processes.len() as u8;
-        let at = address(self.network, host, STAND_IN_PORT);
+        let listen = address(self.network, host, STAND_IN_PORT);
         let store = address(self.network, STORE_HOST, STAND_IN_PORT);
-        self.store_proxies.push(FaultProxy::start(at, store)?);
-        Ok(at)
+        self.store_proxies.push(FaultProxy::start(listen, store)?);
+        Ok(listen)
     }
 
-    /// A proxy between an agent and its target.
+    /// Starts the proxy between an agent and its target.
     fn proxy_to_target(&mut self, index: usize) -> io::Result<SocketAddr> {
-        let at = address(self.network, TARGET_PROXY_HOST + index as u8, STAND_IN_PORT);
+        let listen = address(self.network, TARGET_PROXY_HOST + index as u8, STAND_IN_PORT);
         let target = address(self.network, TARGET_HOST + index as u8, STAND_IN_PORT);
-        self.target_proxies.push(FaultProxy::start(at, target)?);
-        Ok(at)
+        self.target_proxies.push(FaultProxy::start(listen, target)?);
+        Ok(listen)
     }
 
-    /// Where callers reach an entry through its proxy.
+    /// Address of an entry for callers, through its proxy.
     pub fn caller_address(&self, index: usize) -> SocketAddr {
-        address(self.network, CALLER_PROXY_HOST + index as u8, PORT)
+        address(self.network, CALLER_PROXY_HOST + index as u8, CALLER_PORT)
     }
 
     fn entry_link(&self, index: usize) -> SocketAddr {
         address(self.network, ENTRY_HOST + index as u8, LINK_PORT)
     }
 
-    /// Address of an entry for callers.
+    /// Address of an entry for callers, without the proxy.
     pub fn entry_address(&self, index: usize) -> SocketAddr {
-        address(self.network, ENTRY_HOST + index as u8, PORT)
+        address(self.network, ENTRY_HOST + index as u8, CALLER_PORT)
     }
 
-    /// Address of an agent for its target's reports.
+    /// Address of an agent for target reports.
     pub fn agent_address(&self, index: usize) -> SocketAddr {
-        address(self.network, AGENT_HOST + index as u8, PORT + 2)
+        address(self.network, AGENT_HOST + index as u8, CALLER_PORT + 2)
     }
 
-    /// Starts a process that does not run.
+    /// Starts a process that isn't running.
     pub fn start_process(&mut self, index: usize) -> io::Result<()> {
         let process = &mut self.processes[index];
         let log = fs::OpenOptions::new()
@@ -294,7 +295,7 @@
         Ok(())
     }
 
-    /// Whether a process runs, or stands still.
+    /// Whether a process is running or suspended.
     pub fn is_running(&mut self, index: usize) -> bool {
         let process = &mut self.processes[index];
         let Some(child) = &mut process.child else {
@@ -307,20 +308,20 @@
         false
     }
 
-    /// Sends a signal to a process that this fleet started and has not seen end.
+    /// Sends a signal to a process if it is running.
     pub fn signal(&mut self, index: usize, signal: Signal) {
         if !self.is_running(index) {
             return;
         }
         if let Some(child) = &self.processes[index].child {
-            // SAFETY: the id is that of a child that has not been waited for, so it is ours.
+            // SAFETY: the child hasn't been waited for, so its id can't have been reused.
             unsafe {
                 libc::kill(child.id() as i32, signal.number());
             }
         }
     }
 
-    /// Waits until a process has ended; says whether it did in time.
+    /// Waits until a process has ended. Returns false after `limit`.
     pub fn await_end(&mut self, index: usize, limit: Duration) -> bool {
         let until = Instant::now() + limit;
         while Instant::now() < until {
@@ -332,7 +333,7 @@
         false
     }
 
-    /// What a process has logged.
+    /// Log output of a process.
     pub fn log(&self, index: usize) -> String {
         let path = self
             .folder
@@ -340,7 +341,7 @@
         fs::read_to_string(path).unwrap_or_default()
     }
 
-    /// Addresses of all agents for reports.
+    /// Addresses of all agents for target reports.
     pub fn agent_addresses(&self) -> Vec<SocketAddr> {
         (0..self.targets.len())
             .map(|i| self.agent_address(i))
@@ -377,7 +378,7 @@
     }
 }
 
-/// Submits a batch of tasks that each take `work_ms`; none if there is no answer.
+/// Submits a batch of tasks that each take `work_ms`. Returns none if there is no answer.
 pub async fn submit(
     client: &PlatformClient,
     id: u64,
@@ -403,7 +404,7 @@
     Some((answer.status.as_u16(), text))
 }
 
-/// Asks whether an entry is ready.
+/// Whether an entry reports itself ready.
 pub async fn is_ready(entry: SocketAddr) -> bool {
     let ready = SocketAddr::new(entry.ip(), entry.port() + 1);
     let client = PlatformClient::new(&ready.to_string()).await;
@@ -412,7 +413,7 @@
     answer.is_ok_and(|a| a.status.as_u16() == 200)
 }
 
-/// Waits until all entries are ready; says whether they became so.
+/// Waits until all entries are ready. Returns false after `limit`.
 pub async fn await_ready(entries: &[SocketAddr], limit: Duration) -> bool {
     let until = Instant::now() + limit;
     for entry in entries {
--- a/lib/testutils/src/stand_ins.rs
+++ b/lib/testutils/src/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The platform's services and targets over HTTP, with faults that can be set while they run.
+//! HTTP stand-ins for the platform's services and targets, with faults that can be set at run time.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -22,26 +22,26 @@
 use trestleknot_lib::vm_list::VmRecord;
 use trestleknot_lib::worker_threads::{run_system, spawn};
 
-/// What a stand-in serves.
+/// Service that a stand-in provides.
 pub enum Service {
-    /// The log.
+    /// The configuration log.
     Log(MemoryLog),
     /// The VM list.
     VmList(MemoryVmList),
     /// A target.
     Target(MemoryTarget),
-    /// A collector of spans.
+    /// An OTLP trace collector.
     Collector(Collector),
 }
 
-/// Keeps what is exported to it. Clones share it.
+/// Keeps the bytes exported to it. Clones share the data.
 #[derive(Debug, Clone, Default)]
 pub struct Collector {
     bodies: Arc<Mutex<Vec<u8>>>,
 }
 
 impl Collector {
-    /// Whether a text stands in anything exported so far.
+    /// Whether any export so far contains `text`.
     pub fn has(&self, text: &str) -> bool {
         let bodies = self.bodies.lock().unwrap_or_else(PoisonError::into_inner);
         bodies
@@ -49,46 +49,46 @@
             .any(|part| part == text.as_bytes())
     }
 
-    fn keep(&self, body: &[u8]) {
+    fn append(&self, body: &[u8]) {
         let mut bodies = self.bodies.lock().unwrap_or_else(PoisonError::into_inner);
         bodies.extend_from_slice(body);
     }
 }
 
-/// Running stand-ins, each at an address of its own.
+/// Running stand-ins, each on its own address.
 pub struct StandIns {
-    /// Addresses in the order in which the services were given.
+    /// Addresses, in the order of the services passed to `start`.
     pub addresses: Vec<SocketAddr>,
     end: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// A service and where it listens.
+/// A service and its listen address.
 pub struct Placed {
     /// The service.
     pub service: Service,
-    /// Where.
+    /// Listen address.
     pub listen: SocketAddr,
 }
 
 impl StandIns {
-    /// Starts services on addresses.
+    /// Binds all addresses and starts the services.
     pub fn start(services: Vec<Placed>) -> io::Result<Self> {
         let mut bound = Vec::new();
         for placed in services {
             let listener = TcpListener::bind(placed.listen)?;
-            bound.push(Bound {
+            bound.push(BoundService {
                 service: placed.service,
                 listener,
             });
         }
         let addresses = bound.iter().map(|b| b.listener.local_addr());
         let addresses = addresses.collect::<io::Result<Vec<SocketAddr>>>()?;
-        let (end, ended) = oneshot::channel();
+        let (end, end_rx) = oneshot::channel();
         let thread = spawn("stand-ins", move || {
             run_system("stand-ins", async move {
                 let servers: Vec<_> = bound.into_iter().filter_map(|b| b.serve().ok()).collect();
-                let _ = ended.await;
+                let _ = end_rx.await;
                 for server in servers {
                     server.stop(false).await;
                 }
@@ -101,12 +101,12 @@
         })
     }
 
-    /// Base address of a service.
+    /// Base URL of a service.
     pub fn url(&self, index: usize) -> String {
         format!("http://{}", self.addresses[index])
     }
 
-    /// Waits for ever, for stand-ins that run as a process.
+    /// Blocks while the services run. Programs that only run stand-ins call this.
     pub fn wait(mut self) {
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -123,12 +123,12 @@
     }
 }
 
-struct Bound {
+struct BoundService {
     service: Service,
     listener: TcpListener,
 }
 
-impl Bound {
+impl BoundService {
     fn serve(self) -> io::Result<ntex::server::Server> {
         match self.service {
             Service::Log(log) => serve_log(self.listener, log),
@@ -172,7 +172,7 @@
 }
 
 async fn collect(body: Bytes, collector: State<Collector>) -> HttpResponse {
-    collector.keep(&body);
+    collector.append(&body);
     HttpResponse::new(StatusCode::OK)
 }
 
@@ -206,38 +206,38 @@
 }
 
 #[derive(Deserialize)]
-struct From {
+struct ReadQuery {
     from: u64,
 }
 
-fn down() -> HttpResponse {
+fn unavailable() -> HttpResponse {
     HttpResponse::new(StatusCode::SERVICE_UNAVAILABLE)
 }
 
-async fn read_log(query: Query<From>, log: State<MemoryLog>) -> HttpResponse {
+async fn read_log(query: Query<ReadQuery>, log: State<MemoryLog>) -> HttpResponse {
     match log.read(query.from).await {
         Ok(batch) => HttpResponse::Ok().json(&batch),
-        Err(_) => down(),
+        Err(_) => unavailable(),
     }
 }
 
 async fn append_log(record: Json<LogRecord>, log: State<MemoryLog>) -> HttpResponse {
     match log.append(record.into_inner()).await {
         Ok(offset) => HttpResponse::Ok().json(&Appended { offset }),
-        Err(_) => down(),
+        Err(_) => unavailable(),
     }
 }
 
-/// Faults of the log, as set over HTTP.
+/// Body of a request that sets the log's faults.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct LogFaultsBody {
-    /// It does not answer and takes nothing in.
+    /// Reads and appends fail.
     #[serde(default)]
     pub down: bool,
-    /// Appends take effect, but their answers get lost.
+    /// Appends take effect, but their replies are lost.
     #[serde(default)]
     pub lose_replies: bool,
-    /// Every answer comes so late, in milliseconds.
+    /// Delay of every reply in milliseconds.
     #[serde(default)]
     pub delay_ms: u64,
 }
@@ -254,7 +254,7 @@
 async fn read_list(list: State<MemoryVmList>) -> HttpResponse {
     match list.list_now() {
         Ok(vms) => HttpResponse::Ok().json(&vms),
-        Err(_) => down(),
+        Err(_) => unavailable(),
     }
 }
 
@@ -264,19 +264,19 @@
 }
 
 #[derive(Deserialize)]
-struct Name {
+struct VmQuery {
     name: String,
 }
 
-async fn remove_vm(query: Query<Name>, list: State<MemoryVmList>) -> HttpResponse {
+async fn remove_vm(query: Query<VmQuery>, list: State<MemoryVmList>) -> HttpResponse {
     list.remove(&query.name);
     HttpResponse::new(StatusCode::NO_CONTENT)
 }
 
-/// Faults of the VM list, as set over HTTP.
+/// Body of a request that sets the VM list's faults.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ListFaultsBody {
-    /// It does not answer.
+    /// Reads fail.
     #[serde(default)]
     pub down: bool,
 }
@@ -292,7 +292,7 @@
         .run_named(body.run.clone(), &body.payload, lease)
         .await;
     match end {
-        RunEnd::NotStarted => down(),
+        RunEnd::NotStarted => unavailable(),
         RunEnd::Ended(TaskOutcome::Succeeded(result)) => {
             HttpResponse::Ok().body(result.to_string())
         }
@@ -313,10 +313,10 @@
     HttpResponse::new(StatusCode::NO_CONTENT)
 }
 
-/// What a target reports of its use.
+/// Usage of a target.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct UsageBody {
-    /// Tasks running.
+    /// Number of running tasks.
     pub running: usize,
 }
 
@@ -325,21 +325,21 @@
     HttpResponse::Ok().json(&UsageBody { running })
 }
 
-/// Faults of a target, as set over HTTP.
+/// Body of a request that sets a target's faults.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct TargetFaultsBody {
-    /// Every task fails at once.
+    /// Every task fails immediately.
     #[serde(default)]
     pub fail_all: bool,
-    /// It takes no tasks.
+    /// The target accepts no tasks.
     #[serde(default)]
     pub down: bool,
-    /// Run times are multiplied by this.
-    #[serde(default = "one")]
+    /// Factor on run times.
+    #[serde(default = "no_slowdown")]
     pub slowdown: f64,
 }
 
-fn one() -> f64 {
+fn no_slowdown() -> f64 {
     1.0
 }
 
--- a/lib/testutils/src/summary.rs
+++ b/lib/testutils/src/summary.rs
@@ -1,4 +1,4 @@
-//! What came of a load, counted and measured.
+//! Counts of outcomes and response times of a load.
 
 use std::fmt;
 
@@ -8,37 +8,37 @@
 
 use crate::caller::{Heard, JobRecord};
 
-/// Response over ideal, in hundredths, is kept up to this.
-const MOST_RATIO: u64 = 1_000_000;
+/// Largest ratio of response to ideal time in the histogram, in hundredths.
+const MAX_RATIO: u64 = 1_000_000;
 
-/// Counts and the lag of a load.
+/// Counts of outcomes and the response times of a load.
 #[derive(Debug, Clone, Serialize)]
 pub struct Summary {
     /// Jobs submitted.
     pub jobs: usize,
-    /// Answered whole.
+    /// Jobs answered with all their results.
     pub complete: usize,
-    /// Answered failed.
+    /// Jobs answered as failed.
     pub failed: usize,
-    /// Refused.
+    /// Jobs refused.
     pub refused: usize,
-    /// Cut off without an answer.
+    /// Jobs whose connection ended without an answer.
     pub nothing: usize,
-    /// Given up by the caller.
+    /// Jobs whose caller disconnected first.
     pub gave_up: usize,
-    /// Answered with what is not whole or not the caller's own.
+    /// Jobs answered with missing or foreign results.
     pub wrong: usize,
     /// Tasks started.
     pub started: usize,
     /// Tasks started more than once.
     pub started_twice: usize,
-    /// Complete jobs whose answer came after their deadline.
+    /// Complete jobs answered after their deadline.
     pub late: usize,
-    /// Response over ideal of the complete jobs.
+    /// Ratio of response to ideal time of the complete jobs.
     pub lag: Lag,
 }
 
-/// Response time over the ideal.
+/// Percentiles of the ratio of response time to ideal time.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct Lag {
     /// Median.
@@ -55,7 +55,7 @@
     /// The distribution over the complete jobs among `records`.
     pub fn of<'a>(records: impl Iterator<Item = &'a JobRecord>, slots: u32) -> Self {
         let mut histogram =
-            Histogram::<u64>::new_with_bounds(1, MOST_RATIO, 3).expect("the bounds are in order");
+            Histogram::<u64>::new_with_bounds(1, MAX_RATIO, 3).expect("the bounds are in order");
         for record in records.filter(|r| r.heard == Heard::Complete) {
             let ideal = record.job.ideal(slots).as_secs_f64().max(1e-3);
             let ratio = record.response.as_secs_f64() / ideal;
@@ -72,7 +72,7 @@
 }
 
 impl Summary {
-    /// Counts what came of a load on so many slots.
+    /// Summarizes the records of a load that ran on `slots` slots.
     pub fn of(records: &[JobRecord], slots: u32, starts: &StartRecord) -> Self {
         let count = |f: fn(&Heard) -> bool| records.iter().filter(|r| f(&r.heard)).count();
         let is_late = |r: &&JobRecord| {
