--- a/cli/tests/test_commands.rs
+++ b/cli/tests/test_commands.rs
@@ -1,4 +1,4 @@
-//! Commands as an operator types them: output and exit codes.
+//! Output and exit codes of the operators' commands.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -11,7 +11,7 @@
     command.args(args).output().expect("it runs")
 }
 
-/// What was printed, and the exit code.
+/// Formats the output and the exit code for a snapshot.
 fn shown(output: &Output) -> String {
     let out = String::from_utf8_lossy(&output.stdout);
     let err = String::from_utf8_lossy(&output.stderr);
@@ -19,7 +19,7 @@
     format!("{out}{err}exit code {code}")
 }
 
-/// A file of this test's own, named in its folder.
+/// Writes a file for one test into the build tree.
 fn file(name: &str, text: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = folder.join(format!("{}-{name}", std::process::id()));
--- a/cli/tests/test_platform.rs
+++ b/cli/tests/test_platform.rs
@@ -1,4 +1,4 @@
-//! The real programs as processes, beside stand-ins that speak the platform's protocol.
+//! End-to-end tests of the real programs as processes, with stand-ins for the platform.
 
 use std::io::{Read as _, Write as _};
 use std::net::TcpStream;
@@ -14,15 +14,15 @@
 use trestleknot_lib::worker_threads::run_system;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_trestleknot");
-/// How long a caller waits.
-const PATIENCE: Duration = Duration::from_millis(6_000);
+/// Deadline of callers.
+const CALLER_DEADLINE: Duration = Duration::from_millis(6_000);
 
-/// A folder of the build tree for one test.
+/// Working folder of a test, in the build tree.
 fn folder(name: &str) -> PathBuf {
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("platform-{name}-{}", std::process::id()))
 }
 
-/// Runs a test on a fleet that is ready.
+/// Runs a test on a fleet once all entries are ready.
 fn with_fleet<F>(name: &'static str, network: u8, entries: usize, agents: usize, test: F)
 where
     F: AsyncFnOnce(&mut ProcessFleet) + 'static,
@@ -31,15 +31,15 @@
     let fleet = ProcessFleet::start(Path::new(PROGRAM), &folder, network, entries, agents);
     let mut fleet = fleet.expect("a fleet on loopback addresses");
     run_system(name, async move {
-        let misheard = Misheard::default();
+        let accepted_unreadable = Misheard::default();
         let (targets, agents) = (fleet.targets.clone(), fleet.agent_addresses());
-        ntex::rt::spawn(report_forever(targets, agents, misheard.clone()));
+        ntex::rt::spawn(report_forever(targets, agents, accepted_unreadable.clone()));
         let addresses: Vec<_> = (0..entries).map(|i| fleet.entry_address(i)).collect();
         let is_ready = process_fleet::await_ready(&addresses, Duration::from_secs(10)).await;
         assert!(is_ready, "not ready: {}", fleet.log(0));
         test(&mut fleet).await;
         assert_eq!(
-            misheard.get(),
+            accepted_unreadable.get(),
             0,
             "reports that can't be read were acknowledged"
         );
@@ -57,7 +57,7 @@
     count: u32,
     work_ms: u64,
 ) -> Option<(u16, String)> {
-    process_fleet::submit(client, id, count, work_ms, PATIENCE).await
+    process_fleet::submit(client, id, count, work_ms, CALLER_DEADLINE).await
 }
 
 fn succeeded() -> Option<(u16, String)> {
@@ -111,23 +111,23 @@
         assert_eq!(fleet.targets[0].target().running(), 3);
         fleet.signal(0, Signal::Kill);
         assert_eq!(answer.await.expect("the caller"), None);
-        // A caller comes again after 1.3 s; by then nothing may run any more.
+        // Callers retry after 1.3 s. The runs must have been stopped by then.
         ntex::time::sleep(Duration::from_millis(1_000)).await;
         assert_eq!(fleet.targets[0].target().running(), 0, "{}", fleet.log(2));
     });
 }
 
 #[test]
-fn test_serve_target_restarted_under_its_name_is_heard() {
+fn test_serve_target_restarted_under_its_name_gets_work_and_leaves() {
     with_fleet("restart", 75, 1, 2, async |fleet| {
         let client = client(fleet, 0).await;
-        // Numbers of reports and ends rise in the first life.
+        // Raises the numbers of reports and ends of the first incarnation.
         for id in 0..6 {
             assert_eq!(submit(&client, 0x100 + id, 8, 30).await, succeeded());
         }
         let target = fleet.targets[0].clone();
         target.target().restart(target.now());
-        // A process that ends closes its connections.
+        // A restarted process loses its connections.
         fleet.target_proxies[0].reset();
         let before = target.target().records.len();
         let mut id = 0x200;
@@ -141,12 +141,17 @@
         let mut done: Vec<_> = done.map(|r| r.key.task).collect();
         done.sort_unstable();
         let twice = done.windows(2).find(|pair| pair[0] == pair[1]);
-        assert_eq!(twice, None, "a done run passed for lost: {}", fleet.log(1));
+        assert_eq!(
+            twice,
+            None,
+            "a task that was done ran again: {}",
+            fleet.log(1)
+        );
         target.target().leave();
         while target.target().leave_heard().is_none() {
             ntex::time::sleep(Duration::from_millis(20)).await;
         }
-        // What was on its way to the agent is started before it takes in the leave, or never.
+        // Orders that the agent received before the leave have been started by now.
         ntex::time::sleep(Duration::from_millis(300)).await;
         let before = target.target().records.len();
         for id in 0..3 {
@@ -170,7 +175,7 @@
         fleet.signal(2, Signal::Term);
         ntex::time::sleep(Duration::from_millis(50)).await;
         assert!(!process_fleet::is_ready(fleet.entry_address(0)).await);
-        // The balancer sends new batches for two more seconds; they are served.
+        // A stopping entry still serves the batches that the load balancer sends.
         assert_eq!(submit(&first, 4, 2, 100).await, succeeded());
         assert_eq!(answer.await.expect("the caller"), succeeded());
         assert!(fleet.await_end(0, Duration::from_secs(6)), "the entry ends");
@@ -190,7 +195,7 @@
         let before = trestleknot_lib::clock::BootInstant::now();
         let (status, _) = submit(&client, 4, 2, 50).await.expect("an answer");
         assert_eq!(status, 503);
-        assert!(before.elapsed() < PATIENCE / 4, "refused at once");
+        assert!(before.elapsed() < CALLER_DEADLINE / 4, "refused at once");
         assert!(process_fleet::is_ready(fleet.entry_address(0)).await);
         for process in 0..4 {
             let log = fleet.log(process);
@@ -203,7 +208,7 @@
 }
 
 #[test]
-fn test_serve_caller_gone_its_runs_are_stopped() {
+fn test_serve_caller_disconnected_its_runs_are_stopped() {
     with_fleet("gone", 65, 1, 1, async |fleet| {
         let client = client(fleet, 0).await;
         let short = Duration::from_millis(250);
@@ -229,7 +234,7 @@
     });
 }
 
-/// Sends raw bytes and reads the status line.
+/// Sends a raw request and returns the status code of the answer.
 fn raw_status(fleet: &ProcessFleet, request: &str) -> String {
     let mut stream = TcpStream::connect(fleet.entry_address(0)).expect("connect");
     stream
@@ -290,7 +295,7 @@
                 "410",
             ),
             ("nonsense\r\n\r\n".to_owned(), "400"),
-            // A sender that never ends its head is let go.
+            // A request with an incomplete head times out.
             (format!("POST {path} HTTP/1.1\r\nHost:"), "408"),
         ];
         for (request, expected) in cases {
@@ -298,7 +303,7 @@
             assert_eq!(raw_status(fleet, &request), expected, "{head}");
         }
         assert!(fleet.targets[0].target().records.is_empty());
-        assert!(fleet.is_running(0), "the entry lives");
+        assert!(fleet.is_running(0), "the entry is still running");
         let client = client(fleet, 0).await;
         assert_eq!(submit(&client, 7, 1, 20).await, succeeded());
         ntex::time::sleep(Duration::from_millis(400)).await;
@@ -324,7 +329,7 @@
             "{{\"spec\":\"900\",\"steps\":[{{\"count\":1,\"cpu\":1}}],\"{}\":true}}",
             names::ENDS_WITH_REQUEST
         );
-        // Frozen, the entry finds the request and the reset together in its socket.
+        // A suspended entry finds both the request and the reset in its socket when it resumes.
         fleet.signal(0, Signal::Stop);
         let request = post(&format!("{PREFIX}00000000000000ee"), HOST, &with_request);
         let stream = TcpStream::connect(fleet.entry_address(0)).expect("connect");
@@ -394,7 +399,7 @@
     });
 }
 
-/// Waits until a process's log holds a text.
+/// Waits until a process's log contains `text`. Returns false after `limit`.
 async fn await_line(fleet: &ProcessFleet, index: usize, text: &str, limit: Duration) -> bool {
     let pause = Duration::from_millis(100);
     for _ in 0..limit.as_millis() / pause.as_millis() {
@@ -413,17 +418,17 @@
         for process in [0, 1] {
             let path = fleet.processes[process].settings.clone();
             let before = std::fs::read_to_string(&path).expect("settings");
-            // A seed more, without a signal: it is dialled.
+            // A changed seed is applied without a signal.
             let changed = format!("{before}# changed\n").replace("seeds:", "seeds_before:");
             let changed = format!("{changed}seeds: [\"127.71.9.9:1\"]\n");
             std::fs::write(&path, changed).expect("write");
-            let is_taken = await_line(fleet, process, "new_seeds=true", limit).await;
-            assert!(is_taken, "{}", fleet.log(process));
-            // A broken file, with a signal: it is named, and nothing changes.
+            let is_applied = await_line(fleet, process, "new_seeds=true", limit).await;
+            assert!(is_applied, "{}", fleet.log(process));
+            // An invalid file is reported on SIGHUP, and nothing changes.
             std::fs::write(&path, "node: 5\n").expect("write");
             fleet.signal(process, Signal::Hangup);
-            let is_named = await_line(fleet, process, "change=none", limit).await;
-            assert!(is_named, "{}", fleet.log(process));
+            let is_reported = await_line(fleet, process, "change=none", limit).await;
+            assert!(is_reported, "{}", fleet.log(process));
             assert!(fleet.is_running(process));
             std::fs::write(&path, before).expect("write");
         }
