--- a/cli/tests/test_commands.rs
+++ b/cli/tests/test_commands.rs
@@ -20,7 +20,7 @@
 }
 
 /// Writes a file for one test into the build tree.
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let path = folder.join(format!("{}-{name}", std::process::id()));
     std::fs::write(&path, text).expect("a file can be written");
@@ -28,7 +28,7 @@
 }
 
 fn check(name: &str, kind: &str, text: &str) -> String {
-    let path = file(name, text);
+    let path = write_file(name, text);
     let path = path.display().to_string();
     shown(&run(&["check", &path, "--kind", kind])).replace(&path, name)
 }
@@ -76,10 +76,10 @@
     };
     let stand_ins = StandIns::start(vec![placed]).expect("it starts");
     let url = stand_ins.url(0);
-    let first = file("first.json", "{ \"lease_ms\": 2000 }")
+    let first = write_file("first.json", "{ \"lease_ms\": 2000 }")
         .display()
         .to_string();
-    let second = file("second.json", "{ \"lease_ms\": 4000 }")
+    let second = write_file("second.json", "{ \"lease_ms\": 4000 }")
         .display()
         .to_string();
     let apply = |path: &str| {
--- a/lib/testutils/src/bin/soak.rs
+++ b/lib/testutils/src/bin/soak.rs
@@ -3,9 +3,9 @@
 //! `soak --seed N --for 20s` starts entries, agents and stand-ins on loopback addresses, submits
 //! batches and injects a schedule of faults that depends on the seed only. The faults cover
 //! processes (killed, paused, stopped), the store, targets, orders to targets, configurations in
-//! quick succession and connections through proxies. Callers that disconnect early and a second
-//! sender of target reports run all the time. The soak then checks the records of callers and
-//! targets and prints a summary. The exit status is nonzero if a check failed.
+//! quick succession and connections through proxies. Throughout the soak, some callers disconnect
+//! early and another writer sends target reports of its own. The soak then checks the records of
+//! callers and targets and prints a summary. The exit status is nonzero if a check failed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -45,7 +45,7 @@
 /// Time from a target's leave until its next incarnation.
 const LEAVE_TO_RESTART: Duration = Duration::from_millis(4_000);
 /// Tasks that a target can run at a time.
-const TARGET_CAPACITY: i64 = 8;
+const TASKS_PER_TARGET: i64 = 8;
 
 /// A fault and the component that it affects.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -169,7 +169,7 @@
     while at + CALM_PERIOD < length {
         let target = rng.random_range(0..AGENTS);
         let pause = Duration::from_millis(rng.random_range(3_500..5_000));
-        let tasks = rng.random_range(0..TARGET_CAPACITY as u64);
+        let tasks = rng.random_range(0..TASKS_PER_TARGET as u64);
         capacity_drops.push((at, Injection::Resize(target, tasks, pause)));
         at += Duration::from_millis(rng.random_range(3_000..5_000));
     }
@@ -212,12 +212,17 @@
 
 type Outcomes = Rc<RefCell<BTreeMap<u64, Outcome>>>;
 
-async fn call(clients: Rc<Vec<PlatformClient>>, id: u64, seed: u64, outcomes: Outcomes) {
+async fn submit_with_retries(
+    clients: Rc<Vec<PlatformClient>>,
+    id: u64,
+    seed: u64,
+    outcomes: Outcomes,
+) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ id);
     let tasks = rng.random_range(1..=5);
     let work_ms = [40, 150, 600][rng.random_range(0..3)];
     // One caller in ten disconnects before its batch can complete.
-    let patience = if rng.random_bool(0.1) {
+    let timeout_ms = if rng.random_bool(0.1) {
         work_ms / 2
     } else {
         4_000
@@ -226,10 +231,10 @@
         let client = &clients[rng.random_range(0..clients.len())];
         if let Some(outcome) = outcomes.borrow_mut().get_mut(&id) {
             outcome.tasks = tasks;
-            outcome.leaves_early = patience < work_ms;
+            outcome.leaves_early = timeout_ms < work_ms;
             outcome.tries += 1;
         }
-        let limit = Duration::from_millis(patience);
+        let limit = Duration::from_millis(timeout_ms);
         let answer = process_fleet::submit(client, id, tasks, work_ms, limit).await;
         let retries = !matches!(&answer, Some((status, _)) if *status != 502 && *status != 504);
         if let (Some(answer), Some(outcome)) = (answer, outcomes.borrow_mut().get_mut(&id)) {
@@ -273,8 +278,9 @@
             recoveries.push((now + LEAVE_TO_RESTART, Recovery::NextIncarnation(index)));
         }
         Injection::Resize(index, tasks, pause) => {
-            fleet.targets[index].target().capacity =
-                process_fleet::TASK.times(tasks).plus(process_fleet::MEMORY);
+            fleet.targets[index].target().capacity = process_fleet::TASK_SIZE
+                .times(tasks)
+                .plus(process_fleet::TARGET_MEMORY);
             recoveries.push((now + pause, Recovery::FullCapacity(index)));
         }
         Injection::Target(index, trouble, pause) => {
@@ -294,7 +300,7 @@
     }
 }
 
-/// Crashes a target. Targets with an odd index restart under the same name.
+/// Starts the next incarnation of a target, under the same name if its index is odd.
 fn begin_next_incarnation(fleet: &ProcessFleet, index: usize) {
     let at = fleet.targets[index].now();
     let mut target = fleet.targets[index].target();
@@ -333,13 +339,13 @@
             fleet.signal(index, Signal::Kill);
             fleet.await_end(index, Duration::from_secs(1));
             if let Err(e) = fleet.start_process(index) {
-                println!("failed to start process {index}: {e}");
+                println!("process {index} does not start: {e}");
             }
         }
         Recovery::Continue(index) => fleet.signal(index, Signal::Continue),
         Recovery::NextIncarnation(index) => begin_next_incarnation(fleet, index),
         Recovery::FullCapacity(index) => {
-            fleet.targets[index].target().capacity = process_fleet::CAPACITY;
+            fleet.targets[index].target().capacity = process_fleet::TARGET_CAPACITY;
         }
         Recovery::StoreHealthy => fleet.store.set_fault(Fault::None),
         Recovery::TargetHealthy(index) => {
@@ -416,9 +422,9 @@
     for record in records {
         // A delayed order may have been sent before the capacity dropped.
         let capacity = if record.is_late {
-            TARGET_CAPACITY
+            TASKS_PER_TARGET
         } else {
-            process_fleet::TASK.times_in(record.room) as i64
+            process_fleet::TASK_SIZE.times_in(record.room) as i64
         };
         let changes = by_target.entry(&record.target).or_default();
         changes.push((record.from, 1, capacity));
@@ -473,7 +479,12 @@
                         ..Outcome::default()
                     };
                     outcomes.borrow_mut().insert(id, outcome);
-                    ntex::rt::spawn(call(clients.clone(), id, seed, outcomes.clone()));
+                    ntex::rt::spawn(submit_with_retries(
+                        clients.clone(),
+                        id,
+                        seed,
+                        outcomes.clone(),
+                    ));
                     let pause = rng.random_range(0.5..1.5) / BATCHES_PER_SECOND;
                     ntex::time::sleep(Duration::from_secs_f64(pause)).await;
                 }
--- a/lib/testutils/src/process_fleet.rs
+++ b/lib/testutils/src/process_fleet.rs
@@ -35,19 +35,19 @@
 /// Path of the queue.
 pub const PREFIX: &str = "/q/";
 /// Capacity of each target: eight tasks.
-pub const CAPACITY: Resources = Resources {
+pub const TARGET_CAPACITY: Resources = Resources {
     cpu_millis: 16_000,
     memory_mib: 65_536,
     accelerators: 0,
 };
 /// Memory of a target whose CPU capacity is reduced.
-pub const MEMORY: Resources = Resources {
+pub const TARGET_MEMORY: Resources = Resources {
     cpu_millis: 0,
-    memory_mib: CAPACITY.memory_mib,
+    memory_mib: TARGET_CAPACITY.memory_mib,
     accelerators: 0,
 };
 /// Resources of each task. It takes no memory, which leaves CPU as the only limit.
-pub const TASK: Resources = Resources {
+pub const TASK_SIZE: Resources = Resources {
     cpu_millis: 2_000,
     memory_mib: 0,
     accelerators: 0,
@@ -159,7 +159,7 @@
         )?];
         let mut targets = Vec::new();
         for index in 0..agents {
-            let target = RunTarget::new(&format!("target-{index}"), CAPACITY, 1.0)
+            let target = RunTarget::new(&format!("target-{index}"), TARGET_CAPACITY, 1.0)
                 .with_room_grace(LATE_ORDER_GRACE);
             let target = TargetStandIn::new(origin, target);
             let listen = address(network, TARGET_HOST + index as u8, STAND_IN_PORT);
@@ -389,7 +389,7 @@
     let body = stand_in_format::encode_batch(&PlainBatch {
         payload: &work_ms.to_string(),
         count,
-        cpu_millis: TASK.cpu_millis,
+        cpu_millis: TASK_SIZE.cpu_millis,
         estimate: Duration::from_millis(work_ms),
     });
     let request = client
