--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -1,9 +1,9 @@
 //! The entry's core: a deterministic state machine, `(now, event) -> actions`.
 //!
-//! No sockets, clocks, threads or unseeded randomness in here; any driver can run it.
-//! docs/DESIGN.md ("Driving the cores") states the contract: events may come in any order that
-//! one process can see, a session's frames may be lost, doubled or late, and every action may
-//! fail without an answer.
+//! It uses no sockets, clocks, threads or unseeded randomness. Drivers must follow the contract in
+//! docs/DESIGN.md ("Driving the cores"): events may come in any order that one process can see,
+//! frames of a session may be lost, duplicated or late, and every action may fail without an
+//! answer.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -31,116 +31,117 @@
 use crate::target_table::TargetTable;
 use crate::vm_list::VmRecord;
 
-/// What an entry's core is told at start.
+/// Start-up options of an entry's core.
 #[derive(Debug, Clone)]
 pub struct EntryOptions {
     /// Name from the settings.
     pub name: NodeName,
-    /// This life.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    /// Address for agents, for peers and agents to pass on.
+    /// Address where agents connect; peers and agents pass it on.
     pub agent_address: String,
-    /// Secret of the fleet.
+    /// Secret shared by the fleet.
     pub secret: FleetSecret,
-    /// Overrides the configuration's placement, for measuring.
+    /// Overrides the configuration's placement mode in measurements.
     pub placement: Option<PlacementMode>,
-    /// Life of a permit.
+    /// How long a permit is valid.
     pub permit_life: Duration,
-    /// Longest drain.
+    /// Maximum length of a drain.
     pub drain_limit: Duration,
-    /// How often the head is written to the log again; well under the log's retention.
+    /// Interval between snapshots of the configuration in the log. Must be well under the log's
+    /// retention.
     pub snapshot_every: Duration,
     /// Seed of all random choices.
     pub seed: u64,
 }
 
-/// A job as it arrives.
+/// A job as a caller submits it.
 #[derive(Debug, Clone)]
 pub struct Submission {
-    /// Whom to answer.
+    /// The request to answer.
     pub request: RequestId,
     /// SHA-256 of the caller's key, in hexadecimal.
     pub key_sha256: String,
     /// The tasks.
     pub tasks: Arc<[TaskSpec]>,
-    /// How long the caller waits.
+    /// How long the caller waits, counted from arrival.
     pub deadline: Duration,
-    /// False for a request that must run at most once.
+    /// False if the request must run at most once.
     pub repeatable: bool,
-    /// Its permit.
+    /// The permit text, for a request that is not repeatable.
     pub permit: Option<String>,
-    /// Trace context.
+    /// W3C trace context of the caller's span.
     pub trace: Option<Arc<str>>,
 }
 
-/// What an entry is told.
+/// An input of an entry's core.
 #[derive(Debug, Clone)]
 pub enum EntryEvent {
     /// Time has passed.
     Tick,
-    /// A caller submits.
+    /// A caller submits a job.
     Submit(Submission),
-    /// A caller's connection is gone.
+    /// A caller's connection has closed.
     CallerGone(RequestId),
-    /// A caller asks to cancel.
+    /// A caller cancels a job.
     Cancel(JobRequest),
-    /// A caller asks how far a job is.
+    /// A caller asks for the progress of a job.
     JobState(JobRequest),
     /// A caller asks for permits.
     MintPermits(PermitRequest),
     /// An operator asks for the status.
     Status(RequestId),
-    /// An operator asks what happened to a job.
+    /// An operator asks for the timeline of a job.
     Explain {
-        /// Whom to answer.
+        /// The request to answer.
         request: RequestId,
         /// The job.
         job: JobId,
     },
-    /// An agent has connected and said hello.
+    /// An agent has connected and sent its hello.
     AgentOpened {
         /// The session.
         session: SessionId,
         /// Its hello.
         hello: AgentHello,
     },
-    /// A frame of an agent.
+    /// An agent has sent a frame.
     AgentFrame {
         /// The session.
         session: SessionId,
         /// The frame.
         frame: Frame<AgentMessage>,
     },
-    /// An agent's session is gone.
+    /// An agent's session has closed.
     AgentClosed(SessionId),
-    /// A peer has connected, or has been connected to, and said hello.
+    /// A session with a peer has opened, from either side, and the peer has sent its hello.
     PeerOpened {
         /// The session.
         session: SessionId,
         /// Its hello.
         hello: PeerHello,
     },
-    /// A frame of a peer.
+    /// A peer has sent a frame.
     PeerFrame {
         /// The session.
         session: SessionId,
         /// The frame.
         frame: Frame<PeerMessage>,
     },
-    /// A peer's session is gone.
+    /// A peer's session has closed.
     PeerClosed(SessionId),
-    /// Answer to [`EntryAction::ReadLog`]; none if the log did not answer.
+    /// Result of [`EntryAction::ReadLog`]; none if the log did not answer.
     LogRead(Option<LogBatch>),
-    /// Answer to [`EntryAction::ReadVmList`]; none if the list did not answer.
+    /// Result of [`EntryAction::ReadVmList`]; none if the list did not answer.
     VmList(Option<Vec<VmRecord>>),
-    /// Stop in an orderly way.
+    /// Begin an orderly stop.
     Drain,
 }
 
-/// A caller's question about a job.
+/// A caller's request about a job.
 #[derive(Debug, Clone)]
 pub struct JobRequest {
-    /// Whom to answer.
+    /// The request to answer.
     pub request: RequestId,
     /// SHA-256 of the caller's key.
     pub key_sha256: String,
@@ -148,60 +149,60 @@
     pub job: JobId,
 }
 
-/// A caller's wish for permits.
+/// A caller's request for permits.
 #[derive(Debug, Clone)]
 pub struct PermitRequest {
-    /// Whom to answer.
+    /// The request to answer.
     pub request: RequestId,
     /// SHA-256 of the caller's key.
     pub key_sha256: String,
-    /// How many.
+    /// How many permits the caller wants.
     pub count: u32,
 }
 
-/// What is said to a caller or an operator.
+/// A reply to a caller or an operator.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// The answer to a submission, with a fresh permit if it used one.
+    /// The answer to a submission, with a new permit if the submission used one.
     Answer {
         /// The answer.
         answer: Answer,
         /// A permit for the next request.
         next_permit: Option<String>,
     },
-    /// Whether a cancellation was passed on.
+    /// Whether the job was cancelled here or the request was forwarded to its entry.
     Cancelled(bool),
-    /// How far a job is; none if it is not known here.
+    /// Progress of a job; none if this entry does not know it.
     Progress(Option<Progress>),
-    /// Permits.
+    /// New permits; fewer than requested if there is no registrar.
     Permits(Vec<String>),
-    /// The status.
+    /// The status of the entry.
     Status(Box<EntryStatus>),
-    /// The story of a job; none if it is not told any more.
+    /// The timeline of a job; none if the history no longer holds it.
     Story(Option<JobTimeline>),
 }
 
-/// How far a job is.
+/// Progress of a job.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize)]
 pub struct Progress {
     /// Tasks of the job.
     pub tasks: u32,
-    /// Tasks that wait.
+    /// Tasks that wait to be dispatched.
     pub waiting: u32,
-    /// Tasks handed out.
+    /// Tasks dispatched without a known end.
     pub in_flight: u32,
-    /// Tasks ended.
+    /// Tasks that have ended.
     pub ended: u32,
 }
 
-/// What an entry wants done.
+/// An output of an entry's core, carried out by its driver.
 #[derive(Debug, Clone)]
 pub enum EntryAction {
     /// Answer a caller or operator.
     Reply {
-        /// Whom.
+        /// The request to answer.
         request: RequestId,
-        /// What.
+        /// The reply.
         reply: Reply,
     },
     /// Send a frame to an agent.
@@ -222,7 +223,7 @@
     },
     /// Close a peer's session; no [`EntryEvent::PeerClosed`] is expected for it.
     ClosePeer(SessionId),
-    /// Connect to the entry at this address for agents, if not connected.
+    /// Connect to the entry that agents reach at this address, unless a session exists.
     KnowPeer(String),
     /// Read the log from an offset.
     ReadLog(u64),
@@ -232,34 +233,34 @@
     ReadVmList,
     /// Write a line to the log.
     Log(LogEvent),
-    /// A job was answered `complete`: how long it took.
+    /// Record the response time of a job that was answered `complete`.
     Measured(Measure),
-    /// The drain has ended: stop the process.
+    /// Stop the process: the drain has ended.
     Stop,
 }
 
-/// How long a job took, against the ideal.
+/// Measured and ideal response time of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Measure {
     /// From arrival to answer.
     pub response: Duration,
-    /// The larger of the longest task and the work over all open slots.
+    /// The larger of the longest run time and the total run time divided by the open slots.
     pub ideal: Duration,
 }
 
-/// How often time has to be told to a core at the least.
+/// Maximum time between two ticks of a core.
 pub const TICK: Duration = Duration::from_millis(5);
 
-/// A stopping entry goes on refusing for this, so that the balancer sees its health answer and
-/// a request that was already on its way hears a refusal in place of a closed port.
+/// Minimum length of a drain, unless the drain limit is shorter. Meanwhile the load balancer sees
+/// the health answer, and requests already sent get a refusal instead of a closed port.
 const DRAIN_LINGER: Duration = Duration::from_secs(1);
 
-/// State of an entry.
+/// State of an entry and its transitions.
 pub struct EntryCore {
     pub(crate) options: EntryOptions,
     pub(crate) now: Now,
     pub(crate) rng: ChaCha8Rng,
-    pub(crate) out: Vec<EntryAction>,
+    pub(crate) actions: Vec<EntryAction>,
     pub(crate) agents: AgentOutboxes,
     pub(crate) peers: PeerOutboxes,
     pub(crate) targets: TargetTable,
@@ -273,22 +274,22 @@
     pub(crate) quotas: Quotas,
     pub(crate) run_times: RunTimes,
     pub(crate) health: HealthController,
-    pub(crate) journal: JobHistory,
+    pub(crate) history: JobHistory,
     pub(crate) counters: Counters,
     pub(crate) platform: crate::entry_platform::PlatformState,
-    pub(crate) unreleased: BTreeMap<Incarnation, Vec<crate::message::Claim>>,
+    pub(crate) deferred_releases: BTreeMap<Incarnation, Vec<crate::message::Claim>>,
     pub(crate) draining_since: Option<Now>,
     pub(crate) stopped: bool,
 }
 
 impl EntryCore {
-    /// A new life of an entry.
+    /// Creates the core of a new incarnation.
     pub fn new(options: EntryOptions) -> Self {
         let placement = options.placement.unwrap_or_default().build();
         Self {
             rng: ChaCha8Rng::seed_from_u64(options.seed ^ options.incarnation),
             now: Now::ZERO,
-            out: Vec::new(),
+            actions: Vec::new(),
             agents: AgentOutboxes::default(),
             peers: PeerOutboxes::default(),
             targets: TargetTable::default(),
@@ -302,26 +303,27 @@
             quotas: Quotas::default(),
             run_times: RunTimes::default(),
             health: HealthController::default(),
-            journal: JobHistory::default(),
+            history: JobHistory::default(),
             counters: Counters::default(),
             platform: crate::entry_platform::PlatformState::default(),
-            unreleased: BTreeMap::new(),
+            deferred_releases: BTreeMap::new(),
             draining_since: None,
             stopped: false,
             options,
         }
     }
 
-    /// Takes in an event and returns what is to be done, in order. `now` never goes back.
+    /// Handles an event and returns the resulting actions in order. An earlier `now` than before
+    /// has no effect on the core's time.
     pub fn handle(&mut self, now: Now, event: EntryEvent) -> Vec<EntryAction> {
         self.now = self.now.max(now);
         if self.stopped {
             return Vec::new();
         }
         self.dispatch_event(event);
-        self.pump();
+        self.place_waiting_tasks();
         self.flush();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     fn dispatch_event(&mut self, event: EntryEvent) {
@@ -347,7 +349,7 @@
     }
 
     fn tick(&mut self) {
-        self.end_due_jobs();
+        self.fail_expired_jobs();
         self.tick_targets();
         self.tick_peers();
         self.tick_platform();
@@ -356,20 +358,20 @@
 
     fn flush(&mut self) {
         for (session, frame) in self.agents.flush() {
-            self.out.push(EntryAction::SendAgent { session, frame });
+            self.actions.push(EntryAction::SendAgent { session, frame });
         }
         for (session, frame) in self.peers.flush() {
-            self.out.push(EntryAction::SendPeer { session, frame });
+            self.actions.push(EntryAction::SendPeer { session, frame });
         }
     }
 
     pub(crate) fn log(&mut self, code: EventCode, detail: impl Into<String>) {
         let event = LogEvent::new(code, detail);
-        self.out.push(EntryAction::Log(event));
+        self.actions.push(EntryAction::Log(event));
     }
 
     pub(crate) fn reply(&mut self, request: RequestId, reply: Reply) {
-        self.out.push(EntryAction::Reply { request, reply });
+        self.actions.push(EntryAction::Reply { request, reply });
     }
 
     pub(crate) fn send_agent(&mut self, target: Incarnation, message: EntryMessage) {
@@ -389,7 +391,7 @@
         self.peers.push(session, message);
     }
 
-    /// The team behind a key, by its hash.
+    /// The team whose key has this SHA-256.
     pub(crate) fn team_of(&self, key_sha256: &str) -> Option<TeamName> {
         self.keys.get(key_sha256).cloned()
     }
@@ -413,7 +415,7 @@
         }
     }
 
-    /// Ends the drain when nothing is in flight, or at its limit.
+    /// Ends the drain when no job is in flight, or at its limit.
     fn tick_drain(&mut self) {
         let Some(since) = self.draining_since else {
             return;
@@ -423,21 +425,21 @@
         if late && !self.jobs.is_empty() {
             self.log(
                 EventCode::DrainCut,
-                format!("{} jobs cut off", self.jobs.len()),
+                format!("drain limit reached, {} jobs ended early", self.jobs.len()),
             );
             self.fail_all_for_stop();
         }
         if !self.jobs.is_empty() || (length < DRAIN_LINGER && !late) {
             return;
         }
-        self.say_goodbye();
-        self.log(EventCode::Drained, "nothing in flight");
+        self.send_goodbyes();
+        self.log(EventCode::Drained, "no jobs in flight");
         self.flush();
-        self.out.push(EntryAction::Stop);
+        self.actions.push(EntryAction::Stop);
         self.stopped = true;
     }
 
-    fn say_goodbye(&mut self) {
+    fn send_goodbyes(&mut self) {
         for target in self.targets.sorted_ids() {
             self.send_agent(target, EntryMessage::Goodbye);
         }
@@ -446,27 +448,27 @@
         }
     }
 
-    /// Counts since the start.
+    /// Counters since the start of the process.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Targets, for tests and measuring programs.
+    /// Targets that the entry knows.
     pub fn targets(&self) -> &TargetTable {
         &self.targets
     }
 
-    /// Tasks that wait.
+    /// Number of tasks that wait to be dispatched.
     pub fn waiting_tasks(&self) -> u32 {
         self.jobs.waiting().tasks
     }
 
-    /// Jobs between admission and answer.
+    /// Number of jobs between admission and answer.
     pub fn jobs_held(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Configuration, for tests and measuring programs.
+    /// Configuration that the entry holds.
     pub fn config(&self) -> &ConfigChain {
         &self.config
     }
--- a/lib/src/entry_daemon.rs
+++ b/lib/src/entry_daemon.rs
@@ -1,7 +1,7 @@
-//! An entry as a process: its threads and the rings between them.
+//! The entry process: its threads and the rings between them.
 //!
-//! Threads: HTTP (ntex workers), core, links, platform, telemetry. The core is the only one that
-//! decides anything.
+//! The threads are HTTP (ntex workers), core, links, platform and telemetry. All decisions are
+//! made on the core thread.
 
 use std::collections::HashMap;
 use std::io;
@@ -18,7 +18,7 @@
 use crate::entry::{EntryAction, EntryCore, EntryEvent, EntryOptions};
 use crate::entry_input::{Ask, EntryInput};
 use crate::entry_links::LinkParts;
-use crate::entry_router::{EntryRouter, ServerEnder};
+use crate::entry_router::{EntryRouter, ServerEndSender};
 use crate::events::{EventCode, LogEvent};
 use crate::http_api::{RingPool, WorkerRings};
 use crate::ids::Incarnation;
@@ -35,20 +35,21 @@
     ServerPlan, run_system, serve, spawn,
 };
 
-/// Workers that serve operators.
+/// Number of HTTP workers that serve operators.
 const OPERATOR_WORKERS: usize = 1;
-/// Sockets that an entry listens on, bound before it starts.
+
+/// Listening sockets of an entry, bound before it starts.
 pub struct EntryListeners {
-    /// For callers.
+    /// Socket for callers.
     pub callers: TcpListener,
-    /// For agents and peers.
+    /// Socket for agents and peers.
     pub agents: TcpListener,
-    /// For operators.
+    /// Socket for operators.
     pub operators: TcpListener,
 }
 
 impl EntryListeners {
-    /// Binds the addresses of the settings.
+    /// Binds the addresses from the settings. Fails if one of them can't be bound.
     pub fn bind(settings: &EntrySettings) -> io::Result<Self> {
         Ok(Self {
             callers: TcpListener::bind(settings.caller_listen)?,
@@ -60,31 +61,31 @@
 
 /// A running entry.
 pub struct EntryDaemon {
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where agents and peers reach it.
+    /// Address for agents and peers.
     pub agent_address: SocketAddr,
-    /// Where operators reach it.
+    /// Address for operators.
     pub operator_address: SocketAddr,
-    /// This life.
+    /// Incarnation of this process.
     pub incarnation: Incarnation,
-    server_end: ServerEnder,
+    server_end: ServerEndSender,
     threads: DaemonThreads<EntryInput>,
 }
 
-/// What an entry is started with.
+/// Inputs for starting an entry.
 pub struct EntryStart {
-    /// Settings, checked.
+    /// Validated settings.
     pub settings: EntrySettings,
     /// Bound sockets.
     pub listeners: EntryListeners,
-    /// The platform.
+    /// Creates the platform client on the platform thread.
     pub platform: Factory<Platform>,
-    /// Overrides the configuration's placement, for measuring.
+    /// Overrides the configuration's placement mode in measurements.
     pub placement: Option<PlacementMode>,
 }
 
-/// Where an entry is reached.
+/// Bound addresses of an entry.
 #[derive(Debug, Clone, Copy)]
 struct Addresses {
     callers: SocketAddr,
@@ -93,7 +94,7 @@
 }
 
 impl EntryDaemon {
-    /// Starts an entry's threads.
+    /// Starts the threads of an entry. Fails if a thread can't be spawned or a socket used.
     pub fn start(start: EntryStart) -> io::Result<Self> {
         let EntryStart {
             settings,
@@ -106,7 +107,7 @@
             agents: listeners.agents.local_addr()?,
             operators: listeners.operators.local_addr()?,
         };
-        let options = options_of(&settings, addresses, placement);
+        let options = entry_options(&settings, addresses, placement);
         let incarnation = options.incarnation;
         let mut core = RingThread::spawn("core", CORE_RING, CoreParts::run)?;
         let TelemetryParts { telemetry, page } =
@@ -116,7 +117,7 @@
         })?;
         let control = core.ring();
         let reports = telemetry.ring();
-        let mut rings = WorkerRingMaker {
+        let mut rings = WorkerRingFactory {
             core: &mut core,
             telemetry: &mut telemetry,
             next_worker: 1,
@@ -139,7 +140,7 @@
             own_address: options.agent_address.clone(),
             traffic: links.traffic,
             server_end: http.end.clone(),
-            levels_at: BootInstant::now(),
+            levels_reported_at: BootInstant::now(),
         };
         let parts = CoreParts {
             core: EntryCore::new(options),
@@ -172,7 +173,7 @@
             .send(EntryInput::Ask(Ask { event, reply: None }));
     }
 
-    /// Ends at once, as a crash would: callers and sessions are cut.
+    /// Stops at once, as a crash would: connections and sessions are cut.
     pub fn kill(self) {
         end_servers(&self.server_end, ServerEnd::Cut);
         self.threads.send(EntryInput::Halt);
@@ -184,13 +185,13 @@
         self.threads.is_finished()
     }
 
-    /// Waits for the end.
+    /// Waits until all threads have ended.
     pub fn join(self) {
         self.threads.join();
     }
 }
 
-fn options_of(
+fn entry_options(
     settings: &EntrySettings,
     addresses: Addresses,
     placement: Option<PlacementMode>,
@@ -208,14 +209,14 @@
     }
 }
 
-/// Makes the rings of HTTP workers.
-struct WorkerRingMaker<'a> {
+/// Creates the rings of HTTP workers.
+struct WorkerRingFactory<'a> {
     core: &'a mut RingThread<EntryInput, CoreParts>,
     telemetry: &'a mut RingThread<Report, ()>,
     next_worker: u64,
 }
 
-impl WorkerRingMaker<'_> {
+impl WorkerRingFactory<'_> {
     fn pool(&mut self, workers: usize) -> RingPool {
         let rings = (0..workers).map(|_| self.rings()).collect();
         Arc::new(Mutex::new(rings))
@@ -234,7 +235,7 @@
 
 struct HttpThread {
     thread: JoinHandle<()>,
-    end: ServerEnder,
+    end: ServerEndSender,
 }
 
 fn start_http(
@@ -242,7 +243,7 @@
     callers: TcpListener,
     operators: TcpListener,
     page: MetricsPage,
-    rings: &mut WorkerRingMaker<'_>,
+    rings: &mut WorkerRingFactory<'_>,
 ) -> io::Result<HttpThread> {
     let plan = |listener, routes, workers, pool| ServerPlan {
         listener,
@@ -263,7 +264,7 @@
     let thread = spawn("http", move || {
         run_system("http", async move {
             if let Err(e) = serve(plans, ended).await {
-                log::error!("callers can't be served: {e}");
+                log::error!("cannot serve HTTP: {e}");
             }
         });
     })?;
@@ -328,7 +329,7 @@
     };
     let thread = spawn("links", move || {
         if let Err(e) = session_links::run_local(parts.serve()) {
-            log::error!("links can't be served: {e}");
+            log::error!("cannot run the link thread: {e}");
         }
     })?;
     Ok(LinksThread {
@@ -339,7 +340,7 @@
     })
 }
 
-fn end_servers(server_end: &ServerEnder, end: ServerEnd) {
+fn end_servers(server_end: &ServerEndSender, end: ServerEnd) {
     let mut slot = server_end.lock().unwrap_or_else(PoisonError::into_inner);
     if let Some(tx) = slot.take() {
         let _ = tx.send(end);
--- a/lib/src/entry_input.rs
+++ b/lib/src/entry_input.rs
@@ -1,4 +1,4 @@
-//! What the other threads of an entry push into the core's rings.
+//! Inputs that the other threads of an entry push into the core's rings.
 
 use tokio::sync::oneshot;
 
@@ -7,33 +7,33 @@
 use crate::message::{AgentMessage, PeerMessage};
 use crate::session_links::LinkEvent;
 
-/// An event for the core, and where its answer goes.
+/// An event for the core, with the request that waits for its reply.
 #[derive(Debug)]
 pub struct Ask {
     /// The event.
     pub event: EntryEvent,
-    /// Whom to answer, if anybody.
+    /// The request that waits for a reply, if any.
     pub reply: Option<Awaited>,
 }
 
-/// A request that waits for its answer.
+/// A request that waits for its reply.
 #[derive(Debug)]
 pub struct Awaited {
-    /// Its number.
+    /// Id of the request.
     pub request: RequestId,
-    /// Where the answer goes.
+    /// Channel for the reply.
     pub reply: oneshot::Sender<Reply>,
 }
 
-/// What goes to the core.
+/// An input of the core thread.
 #[derive(Debug)]
 pub enum EntryInput {
-    /// An event, perhaps with somebody who waits.
+    /// An event, with or without a request that waits for a reply.
     Ask(Ask),
-    /// From the agents' sessions.
+    /// An event of an agent's session.
     Agent(LinkEvent<AgentMessage>),
-    /// From the peers' sessions.
+    /// An event of a peer's session.
     Peer(LinkEvent<PeerMessage>),
-    /// End at once, as a crash would.
+    /// Stop at once, as a crash would.
     Halt,
 }
--- a/lib/src/entry_jobs.rs
+++ b/lib/src/entry_jobs.rs
@@ -1,4 +1,4 @@
-//! The entry's jobs: from submission to the one answer.
+//! Jobs of the entry's core, from submission to answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use crate::message::PeerMessage;
 use crate::permit::{StoredAnswer, request_digest};
 
-/// A job is due after so many times its own ideal: short jobs wait little, long ones are not
-/// overtaken for ever.
+/// A job is due after this multiple of its estimated run time. Short jobs then wait little, and
+/// long jobs are not starved.
 const DUE_STRETCH: f64 = 3.0;
 
 impl EntryCore {
-    /// Lets a submission through the filter chain and makes it a job, or refuses it.
+    /// Runs a submission through the admission filters, then admits it as a job or refuses it.
     pub(crate) fn submit(&mut self, submission: Submission) {
         let request = submission.request;
         let Some(team) = self.team_of(&submission.key_sha256) else {
@@ -42,7 +42,7 @@
         match self.check_filters(&spec, estimate) {
             Ok(()) => self.admit(request, spec, estimate),
             Err(answer) => {
-                self.note_quota_refusal(&spec, &answer);
+                self.record_quota_refusal(&spec, &answer);
                 self.refuse(request, answer);
             }
         }
@@ -62,7 +62,7 @@
         self.filters.iter().try_for_each(|f| f.check(spec, &cx))
     }
 
-    fn note_quota_refusal(&mut self, spec: &JobSpec, answer: &Answer) {
+    fn record_quota_refusal(&mut self, spec: &JobSpec, answer: &Answer) {
         if let Answer::Refused { refusal } = answer
             && matches!(refusal.reason, RefusalReason::OverQuota { .. })
         {
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Expects that all waiting work of the fleet shares all open slots.
+    /// Estimates the response time of a job as if all waiting work of the fleet shared all open
+    /// slots.
     fn estimate(&self, spec: &JobSpec) -> Estimate {
         let slots = self.targets.open_slots().max(1);
         let times = spec
@@ -112,10 +113,10 @@
         };
         let tasks = spec.tasks.len() as u32;
         self.quotas.admit(&spec.team, tasks);
-        self.journal.begin(seq, &spec.team, self.now);
+        self.history.begin(seq, &spec.team, self.now);
         let estimate_ms = estimate.response().as_millis() as u64;
         let admitted = StepKind::Admitted { tasks, estimate_ms };
-        self.journal.add(seq, self.now, || admitted);
+        self.history.add(seq, self.now, || admitted);
         let job = self.new_job(id, request, spec, estimate);
         self.jobs.insert(job);
         self.claim_permit(seq);
@@ -137,7 +138,7 @@
             results: vec![None; spec.tasks.len()],
             ended: 0,
             in_flight: 0,
-            waiting: self.longest_last(&spec),
+            waiting: self.sort_tasks(&spec),
             longest_run: Duration::ZERO,
             total_run: Duration::ZERO,
             claim: None,
@@ -145,8 +146,9 @@
         }
     }
 
-    /// The longest tasks are handed out first, so that none of them starts alone at the end.
-    fn longest_last(&self, spec: &JobSpec) -> Vec<WaitingTask> {
+    /// Sorts the tasks of a job by expected run time, the longest last. They are dispatched from
+    /// the end, because a long task that starts late delays the whole job.
+    fn sort_tasks(&self, spec: &JobSpec) -> Vec<WaitingTask> {
         let waiting = |(index, task)| WaitingTask {
             index: index as u16,
             expected: self.run_times.estimate(&spec.team, task).mean,
@@ -156,7 +158,7 @@
         tasks
     }
 
-    /// Takes in the end of a task that may have run.
+    /// Handles the end of a task that may have run.
     pub(crate) fn task_ended(
         &mut self,
         seq: JobSeq,
@@ -165,7 +167,7 @@
         outcome: TaskOutcome,
     ) {
         let now = self.now;
-        self.journal.add(seq, now, || StepKind::Ended {
+        self.history.add(seq, now, || StepKind::Ended {
             task: index,
             target: target.clone(),
             outcome: outcome_name(&outcome).to_owned(),
@@ -214,7 +216,7 @@
             response: self.now.saturating_sub(job.arrived),
             ideal: job.longest_run.max(job.total_run / slots),
         };
-        self.out.push(EntryAction::Measured(measure));
+        self.actions.push(EntryAction::Measured(measure));
         let job_text = job.id.to_string();
         self.answer(
             seq,
@@ -225,7 +227,7 @@
         );
     }
 
-    /// Ends a job badly, and says truly whether any of it may have run.
+    /// Fails a job, or refuses it if none of its tasks can have run.
     pub(crate) fn fail(&mut self, seq: JobSeq, reason: Failure) {
         let Some(job) = self.jobs.get(seq) else {
             return;
@@ -233,12 +235,12 @@
         let answer = if job.may_have_run() {
             Answer::failed(job.id, reason, true)
         } else {
-            refusal_for(job.id, reason)
+            unstarted_answer(job.id, reason)
         };
         self.answer(seq, answer);
     }
 
-    /// Gives a job its one answer, stops what still runs of it and frees its permit if nothing
+    /// Answers and removes a job. Revokes its open dispatches, and releases its permit if no task
     /// ran.
     pub(crate) fn answer(&mut self, seq: JobSeq, answer: Answer) {
         let Some(job) = self.jobs.remove(seq) else {
@@ -251,7 +253,7 @@
         self.settle_permit(&job, &answer);
         self.quotas.end(&job.spec.team, job.spec.tasks.len() as u32);
         let status = answer_status(&answer).to_owned();
-        self.journal
+        self.history
             .add(seq, self.now, || StepKind::Answered { status });
         let next_permit = job
             .spec
@@ -276,9 +278,9 @@
         }
     }
 
-    /// Answers jobs whose deadline has come.
-    pub(crate) fn end_due_jobs(&mut self) {
-        for seq in self.jobs.due(self.now) {
+    /// Fails jobs whose deadline has passed.
+    pub(crate) fn fail_expired_jobs(&mut self) {
+        for seq in self.jobs.expired(self.now) {
             self.fail(seq, Failure::DeadlinePassed);
         }
     }
@@ -289,26 +291,26 @@
         }
     }
 
-    /// A caller that goes away cancels its job.
+    /// Cancels the job of a caller that has disconnected.
     pub(crate) fn caller_gone(&mut self, request: RequestId) {
         if let Some(seq) = self.jobs.by_request(request) {
             self.fail(seq, Failure::Cancelled);
         }
     }
 
-    /// Cancels a job here, or passes the wish on to the entry that holds it.
+    /// Cancels a job held here, or forwards the request to the entry that holds it.
     pub(crate) fn cancel(&mut self, request: JobRequest) {
         let done = match self.team_of(&request.key_sha256) {
             Some(team) if request.job.entry == self.options.incarnation => {
                 self.cancel_for(&team, request.job.seq)
             }
-            Some(team) => self.pass_cancel_on(request.job, team),
+            Some(team) => self.forward_cancel(request.job, team),
             None => false,
         };
         self.reply(request.request, Reply::Cancelled(done));
     }
 
-    /// Cancels a job if it belongs to the team.
+    /// Cancels a job if it belongs to the team; returns whether it did.
     pub(crate) fn cancel_for(&mut self, team: &TeamName, seq: JobSeq) -> bool {
         let owned = self.jobs.get(seq).is_some_and(|j| j.spec.team == *team);
         if owned {
@@ -317,7 +319,7 @@
         owned
     }
 
-    fn pass_cancel_on(&mut self, job: JobId, team: TeamName) -> bool {
+    fn forward_cancel(&mut self, job: JobId, team: TeamName) -> bool {
         let Some(session) = self.peer_session(job.entry) else {
             return false;
         };
@@ -325,7 +327,7 @@
         true
     }
 
-    /// Tells a caller how far its job is.
+    /// Replies with the progress of a job if it is held here and belongs to the caller's team.
     pub(crate) fn job_state(&mut self, request: JobRequest) {
         let team = self.team_of(&request.key_sha256);
         let here = request.job.entry == self.options.incarnation;
@@ -341,24 +343,24 @@
         self.reply(request.request, Reply::Progress(progress));
     }
 
-    /// Tells an operator what happened to a job.
+    /// Replies with the timeline of a job.
     pub(crate) fn explain(&mut self, request: RequestId, job: JobId) {
         let here = job.entry == self.options.incarnation;
-        let story = self.journal.story(job.seq).filter(|_| here).cloned();
-        self.reply(request, Reply::Story(story));
+        let timeline = self.history.timeline(job.seq).filter(|_| here).cloned();
+        self.reply(request, Reply::Story(timeline));
     }
 
-    /// The digest that binds a job's permit to what it asks for.
+    /// The digest of a job's team and tasks. It binds a permit to one request.
     pub(crate) fn digest_of(job: &Job) -> u64 {
         request_digest(&job.spec.team, &job.spec.tasks)
     }
 
-    /// What the registrar keeps of an answer.
-    pub(crate) fn stored(answer: &Answer) -> StoredAnswer {
+    /// The form of an answer that the registrar stores.
+    pub(crate) fn stored_answer(answer: &Answer) -> StoredAnswer {
         StoredAnswer::of(answer)
     }
 
-    /// Name of a target for messages to people.
+    /// Name of a target for logs and answers.
     pub(crate) fn target_name(&self, target: Incarnation) -> Arc<str> {
         match self.targets.get(target) {
             Some(t) => t.name.clone(),
@@ -367,8 +369,8 @@
     }
 }
 
-/// A job of which nothing ran is refused rather than failed.
-fn refusal_for(id: JobId, reason: Failure) -> Answer {
+/// The answer to a job that ends before any of its tasks ran: a refusal where one matches.
+fn unstarted_answer(id: JobId, reason: Failure) -> Answer {
     match reason {
         Failure::DeadlinePassed => Answer::refused(RefusalReason::DeadlinePassed),
         Failure::Cancelled => Answer::refused(RefusalReason::Cancelled),
--- a/lib/src/entry_links.rs
+++ b/lib/src/entry_links.rs
@@ -1,4 +1,4 @@
-//! The links of an entry: one thread for the sessions with agents and with peers.
+//! The link thread of an entry: serves the sessions with agents and peers.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -11,14 +11,14 @@
 use crate::ring::{RingRx, RingTx, TaskWaker};
 use crate::session_links::{self, Adopt, HandshakeConfig, LinkCommand, LinkTraffic, SessionLinks};
 
-/// Path of agents' sessions.
+/// URL path of agents' sessions.
 pub const AGENT_PATH: &str = "/agent";
-/// Path of peers' sessions.
+/// URL path of peers' sessions.
 pub const PEER_PATH: &str = "/peer";
-/// How long sessions have to write their last words.
-const LAST_WORDS: Duration = Duration::from_millis(200);
+/// Time for sessions to write queued messages at a stop.
+const FINAL_WRITE_TIME: Duration = Duration::from_millis(200);
 
-/// What the thread of the links works with.
+/// Inputs of the link thread.
 pub(crate) struct LinkParts {
     pub(crate) listener: TcpListener,
     pub(crate) secret: FleetSecret,
@@ -33,28 +33,28 @@
 }
 
 impl LinkParts {
-    /// Serves agents and peers until the core is gone.
+    /// Serves agents and peers until the core has ended.
     pub(crate) async fn serve(self) {
-        let agent_manners = HandshakeConfig {
+        let agent_handshake = HandshakeConfig {
             our_first: None,
             await_first: true,
             path: AGENT_PATH,
         };
-        let peer_manners = HandshakeConfig {
+        let peer_handshake = HandshakeConfig {
             our_first: Some(PeerMessage::Hello(self.hello)),
             await_first: true,
             path: PEER_PATH,
         };
         let agents = SessionLinks::new(
             self.secret.clone(),
-            agent_manners,
+            agent_handshake,
             self.agent_events,
             EntryInput::Agent,
             self.traffic.clone(),
         );
         let peers = SessionLinks::new(
             self.secret.clone(),
-            peer_manners,
+            peer_handshake,
             self.peer_events,
             EntryInput::Peer,
             self.traffic,
@@ -64,7 +64,7 @@
         let listener = match listener {
             Ok(listener) => listener,
             Err(e) => {
-                log::error!("agents can't be served: {e}");
+                log::error!("cannot listen for agents and peers: {e}");
                 return;
             }
         };
@@ -76,7 +76,7 @@
             peers.serve(self.peer_commands, self.peer_waker),
         );
         accept.abort();
-        // Lets the sessions write what was queued, the goodbyes last.
-        tokio::time::sleep(LAST_WORDS).await;
+        // Gives the sessions time to write what is queued, including the goodbyes.
+        tokio::time::sleep(FINAL_WRITE_TIME).await;
     }
 }
--- a/lib/src/entry_peers.rs
+++ b/lib/src/entry_peers.rs
@@ -1,4 +1,4 @@
-//! The mesh of entries: load reports, configuration, cancellations passed on.
+//! Sessions between entries: load reports, configuration and forwarded cancellations.
 
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
 use crate::message::{Frame, PROTOCOL_VERSION, PeerHello, PeerMessage, PeerReport};
 use crate::outbox::{Passed, PeerLink};
 
-/// Shortest time between reports to one peer.
-const LEAST_REPORT_EVERY: Duration = Duration::from_millis(100);
-/// Time between reports of an entry without jobs, if the budget allows.
+/// Minimum interval between reports to one peer.
+const MIN_REPORT_EVERY: Duration = Duration::from_millis(100);
+/// Minimum interval between reports of an entry without jobs.
 const IDLE_REPORT_EVERY: Duration = Duration::from_secs(2);
-/// Longest time between reports to one peer; also its sign of life.
-const MOST_REPORT_EVERY: Duration = Duration::from_secs(6);
-/// Bytes a second that all reports of an entry together may take.
+/// Maximum interval between reports to one peer; reports also serve as heartbeats.
+const MAX_REPORT_EVERY: Duration = Duration::from_secs(6);
+/// Bytes per second for all reports of an entry.
 const REPORT_BUDGET: f64 = 6_000.0;
-/// Bytes of a report besides its teams, framing counted.
-const REPORT_BASE: usize = 90;
-/// Bytes of a team in a report.
-const REPORT_TEAM: usize = 24;
+/// Bytes of a report without its teams, framing included.
+const REPORT_BASE_BYTES: usize = 90;
+/// Bytes of one team in a report.
+const REPORT_TEAM_BYTES: usize = 24;
 
 impl EntryCore {
-    /// Takes in a peer's hello.
+    /// Handles a peer's hello. Refuses other protocol versions and sessions with this entry itself.
     pub(crate) fn peer_opened(&mut self, session: SessionId, hello: PeerHello) {
-        let ourselves = hello.incarnation == self.options.incarnation;
-        if hello.protocol != PROTOCOL_VERSION || ourselves {
-            self.out.push(EntryAction::ClosePeer(session));
+        let is_self = hello.incarnation == self.options.incarnation;
+        if hello.protocol != PROTOCOL_VERSION || is_self {
+            self.actions.push(EntryAction::ClosePeer(session));
             return;
         }
         self.log(EventCode::PeerJoined, &*hello.name);
@@ -45,17 +45,17 @@
             received: 1,
         };
         self.peers.open(session, link, passed, self.now);
-        self.hear_peer_config(session, hello.config);
+        self.check_peer_config(session, hello.config);
         self.send_report(session);
     }
 
-    /// Takes in a peer's frame.
+    /// Handles a frame of a peer.
     pub(crate) fn peer_frame(&mut self, session: SessionId, frame: Frame<PeerMessage>) {
         match self.peers.accept(session, frame.n, self.now) {
             Some(FrameOrder::Next) => {}
             Some(FrameOrder::Gap) => {
                 self.log(EventCode::SessionGap, format!("peer session {session}"));
-                self.out.push(EntryAction::ClosePeer(session));
+                self.actions.push(EntryAction::ClosePeer(session));
                 self.peer_closed(session);
                 return;
             }
@@ -90,7 +90,7 @@
                 }
             }
             PeerMessage::Goodbye => {
-                self.out.push(EntryAction::ClosePeer(session));
+                self.actions.push(EntryAction::ClosePeer(session));
                 self.peer_closed(session);
             }
         }
@@ -108,11 +108,12 @@
                 self.apply_health(change);
             }
         }
-        self.hear_peer_config(session, report.config);
+        self.check_peer_config(session, report.config);
     }
 
-    /// Fetches a peer's configuration if it is newer, or could fill a gap in what was read.
-    fn hear_peer_config(&mut self, session: SessionId, stamp: crate::config_chain::ConfigStamp) {
+    /// Fetches a peer's configuration if it is newer, if none is held here, or if it could fill a
+    /// gap in the log as read here.
+    fn check_peer_config(&mut self, session: SessionId, stamp: crate::config_chain::ConfigStamp) {
         self.config.heard_of(stamp);
         let newer = stamp.version > self.config.stamp().version;
         let none_held = self.config.document().is_none();
@@ -121,7 +122,7 @@
         }
     }
 
-    /// A peer's session is gone.
+    /// Handles the end of a peer's session.
     pub(crate) fn peer_closed(&mut self, session: SessionId) {
         let Some(link) = self.peers.close(session) else {
             return;
@@ -132,7 +133,7 @@
         }
     }
 
-    /// The session with a peer's life.
+    /// The session with a peer's incarnation.
     pub(crate) fn peer_session(&mut self, peer: Incarnation) -> Option<SessionId> {
         let sessions = self.peers.sessions();
         sessions.into_iter().find(|s| {
@@ -142,25 +143,24 @@
         })
     }
 
-    /// Work that waits at peers, in time of one slot.
+    /// Estimated work that waits at peers, as run time on one slot.
     pub(crate) fn peers_waiting_work(&self) -> Duration {
         let work: u64 = self.peers.states().map(|l| l.waiting_work_ms).sum();
         Duration::from_millis(work)
     }
 
-    /// Addresses for agents of the entries known here, our own first.
+    /// Addresses for agents of this entry and of its peers, in this order.
     pub(crate) fn known_entries(&self) -> Vec<String> {
         let own = std::iter::once(self.options.agent_address.clone());
         let peers = self.peers.states().map(|l| l.agent_address.clone());
         own.chain(peers).collect()
     }
 
-    /// Sends reports that are due. With more peers they get rarer, so that all of them together
-    /// stay within their budget.
+    /// Closes silent sessions and sends the reports that are due.
     pub(crate) fn tick_peers(&mut self) {
         let silent = self.peers.silent(self.now);
         for session in silent {
-            self.out.push(EntryAction::ClosePeer(session));
+            self.actions.push(EntryAction::ClosePeer(session));
             self.peer_closed(session);
         }
         let every = self.report_every();
@@ -173,15 +173,17 @@
         }
     }
 
+    /// The report interval. It grows with the number of peers to keep all reports within their
+    /// byte budget.
     fn report_every(&self) -> Duration {
-        let least = if self.jobs.is_empty() {
+        let min = if self.jobs.is_empty() {
             IDLE_REPORT_EVERY
         } else {
-            LEAST_REPORT_EVERY
+            MIN_REPORT_EVERY
         };
-        let size = REPORT_BASE + REPORT_TEAM * self.quotas.report(self.now).len();
+        let size = REPORT_BASE_BYTES + REPORT_TEAM_BYTES * self.quotas.report(self.now).len();
         let seconds = (size * self.peers.len()) as f64 / REPORT_BUDGET;
-        Duration::from_secs_f64(seconds).clamp(least, MOST_REPORT_EVERY)
+        Duration::from_secs_f64(seconds).clamp(min, MAX_REPORT_EVERY)
     }
 
     fn send_report(&mut self, session: SessionId) {
@@ -197,7 +199,7 @@
         self.send_peer(session, PeerMessage::Report(report));
     }
 
-    /// Tells all peers at once that the configuration has changed.
+    /// Sends a report to all peers at once, for a changed configuration.
     pub(crate) fn report_to_all(&mut self) {
         for session in self.peers.sessions() {
             self.send_report(session);
--- a/lib/src/entry_permits.rs
+++ b/lib/src/entry_permits.rs
@@ -1,4 +1,4 @@
-//! The entry's side of permits: making them, claiming them, and telling how it went.
+//! Permits as the entry handles them: minting, claiming and settling them with the registrar.
 
 use std::time::Duration;
 
@@ -12,15 +12,15 @@
 use crate::message::{Claim, EntryMessage};
 use crate::permit::{ClaimAnswer, Permit, StoredAnswer};
 
-/// Most permits made at once.
-const MOST_PERMITS: u32 = 100;
-/// When to ask again about a request that is running.
-const ASK_AGAIN: Duration = Duration::from_millis(500);
+/// Maximum number of permits per request.
+const MAX_PERMITS: u32 = 100;
+/// Retry time given to callers whose permit is in use or whose registrar can't be reached.
+const CLAIM_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 impl EntryCore {
-    /// Makes permits for a team.
+    /// Mints permits for the caller's team.
     pub(crate) fn mint_permits(&mut self, request: PermitRequest) {
-        let count = request.count.clamp(1, MOST_PERMITS);
+        let count = request.count.clamp(1, MAX_PERMITS);
         let permits = match self.team_of(&request.key_sha256) {
             Some(team) => (0..count).filter_map(|_| self.mint_permit(&team)).collect(),
             None => Vec::new(),
@@ -28,7 +28,7 @@
         self.reply(request.request, Reply::Permits(permits));
     }
 
-    /// Makes a permit at a registrar that is connected and stays. None if there is none.
+    /// Mints a permit whose registrar is a random open target. None if there is no such target.
     pub(crate) fn mint_permit(&mut self, team: &TeamName) -> Option<String> {
         let open = self.targets.iter().filter(|(_, t)| t.is_open());
         let mut registrars: Vec<Incarnation> = open.map(|(id, _)| id).collect();
@@ -38,17 +38,17 @@
         registrars.sort_unstable();
         let registrar = registrars[self.rng.random_range(0..registrars.len())];
         let offset = self.targets.get(registrar)?.clock_offset_ms;
-        let life = self.now + self.options.permit_life;
+        let expires = self.now + self.options.permit_life;
         let permit = Permit {
             id: self.new_permit_id(),
             registrar,
-            expires_ms: (life.as_millis() as i64 + offset).max(0) as u64,
+            expires_ms: (expires.as_millis() as i64 + offset).max(0) as u64,
             team: team.clone(),
         };
         Some(permit.to_text(&self.options.secret))
     }
 
-    /// Asks the registrar whether a job may run, if it has a permit.
+    /// Claims the job's permit at its registrar, if the job has one.
     pub(crate) fn claim_permit(&mut self, seq: JobSeq) {
         let Some(job) = self.jobs.get(seq) else {
             return;
@@ -79,7 +79,7 @@
             .is_some_and(|t| t.session.is_some());
         if !reachable {
             let reason = RefusalReason::PermitUnreachable;
-            self.answer(seq, Answer::refused_until(reason, ASK_AGAIN));
+            self.answer(seq, Answer::refused_until(reason, CLAIM_RETRY_AFTER));
             return;
         }
         if let Some(job) = self.jobs.get_mut(seq) {
@@ -91,17 +91,17 @@
         self.send_agent(registrar, EntryMessage::Claim(claim));
     }
 
-    /// Takes in a registrar's answer.
+    /// Handles a registrar's answer to a claim.
     pub(crate) fn claimed(&mut self, claim: Claim, answer: ClaimAnswer) {
         let seq = claim.job.seq;
-        let waits = self.jobs.get(seq).is_some_and(|job| {
+        let is_pending = self.jobs.get(seq).is_some_and(|job| {
             job.phase == Phase::Claiming && job.claim.as_ref().is_some_and(|c| c.claim == claim)
         });
-        if !waits {
+        if !is_pending {
             return;
         }
         if answer == ClaimAnswer::Granted {
-            self.journal.add(seq, self.now, || StepKind::PermitGranted);
+            self.history.add(seq, self.now, || StepKind::PermitGranted);
             self.jobs.open(seq);
             return;
         }
@@ -112,7 +112,7 @@
         let answer = match answer {
             ClaimAnswer::Granted => return,
             ClaimAnswer::Running => {
-                Answer::refused_until(RefusalReason::EarlierSubmissionRunning, ASK_AGAIN)
+                Answer::refused_until(RefusalReason::EarlierSubmissionRunning, CLAIM_RETRY_AFTER)
             }
             ClaimAnswer::Unknown => Answer::failed(id, Failure::EarlierSubmissionUnknown, true),
             ClaimAnswer::Ended(StoredAnswer::Whole(answer)) => *answer,
@@ -125,7 +125,7 @@
         self.answer(seq, answer);
     }
 
-    /// A registrar can't be reached: requests that wait for it are refused; they did not run.
+    /// Refuses the jobs that wait for a registrar that can't be reached. None of their tasks ran.
     pub(crate) fn refuse_claims_at(&mut self, registrar: Incarnation) {
         for seq in self.jobs.seqs() {
             let waits = self.jobs.get(seq).is_some_and(|job| {
@@ -134,12 +134,12 @@
             });
             if waits {
                 let reason = RefusalReason::PermitUnreachable;
-                self.answer(seq, Answer::refused_until(reason, ASK_AGAIN));
+                self.answer(seq, Answer::refused_until(reason, CLAIM_RETRY_AFTER));
             }
         }
     }
 
-    /// Tells the registrar how a claimed job ended: free again if nothing of it ran.
+    /// Reports the answer of a claimed job to the registrar, or releases the permit if no task ran.
     pub(crate) fn settle_permit(&mut self, job: &Job, answer: &Answer) {
         let Some(ticket) = &job.claim else {
             return;
@@ -152,24 +152,31 @@
             .get(registrar)
             .is_some_and(|t| t.session.is_some());
         if ran {
-            let answer = Self::stored(answer);
+            let answer = Self::stored_answer(answer);
             self.send_agent(registrar, EntryMessage::Settle { claim, answer });
         } else if connected {
             self.send_agent(registrar, EntryMessage::Release(claim));
         } else {
-            self.unreleased.entry(registrar).or_default().push(claim);
+            self.deferred_releases
+                .entry(registrar)
+                .or_default()
+                .push(claim);
         }
     }
 
-    /// Frees permits whose release could not be sent before.
-    pub(crate) fn release_leftover_claims(&mut self, registrar: Incarnation) {
-        for claim in self.unreleased.remove(&registrar).unwrap_or_default() {
+    /// Sends the releases that were deferred because the registrar was not connected.
+    pub(crate) fn send_deferred_releases(&mut self, registrar: Incarnation) {
+        for claim in self
+            .deferred_releases
+            .remove(&registrar)
+            .unwrap_or_default()
+        {
             self.send_agent(registrar, EntryMessage::Release(claim));
         }
     }
 }
 
-/// A claim that was sent, and where.
+/// A claim that was sent to a registrar.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimTicket {
     /// The registrar.
--- a/lib/src/entry_platform.rs
+++ b/lib/src/entry_platform.rs
@@ -1,4 +1,4 @@
-//! The entry and the platform: following the log, keeping the head in it, reading the VM list.
+//! Reads the configuration log and the VM list, and keeps the head of the configuration in the log.
 
 use std::time::Duration;
 
@@ -6,25 +6,25 @@
 
 use crate::config_chain::{ChangeFate, ConfigState, LogBatch, LogRecord};
 use crate::entry::{EntryAction, EntryCore, Reply};
-use crate::entry_targets::GONE_AFTER;
+use crate::entry_targets::ABSENCE_TIMEOUT;
 use crate::events::EventCode;
 use crate::ids::{Incarnation, Now, RequestId};
 use crate::status::{EntryStatus, TargetState, TargetStatus};
 use crate::target_table::Target;
 use crate::vm_list::{VmRecord, VmRole, VmState};
 
-/// Time between reads of the log.
-const READ_LOG_EVERY: Duration = Duration::from_millis(400);
-/// Time between reads of the VM list.
-const READ_LIST_EVERY: Duration = Duration::from_secs(1);
-/// Longest time between reads while the platform does not answer.
-const MOST_BACKOFF: Duration = Duration::from_secs(2);
-/// After this without an answer the request counts as lost.
-const ANSWER_LOST: Duration = Duration::from_secs(10);
-/// How long to wait for a peer or a snapshot when log records expired unread.
-const GAP_PATIENCE: Duration = Duration::from_secs(5);
+/// Interval between reads of the log.
+const LOG_READ_EVERY: Duration = Duration::from_millis(400);
+/// Interval between reads of the VM list.
+const LIST_READ_EVERY: Duration = Duration::from_secs(1);
+/// Maximum backoff between reads while the platform does not answer.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// A read without an answer counts as lost after this time.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long a gap of expired log records may wait for a peer or a snapshot to fill it.
+const GAP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One thing that is polled.
+/// State of a resource that is polled.
 #[derive(Debug, Default)]
 pub struct Poll {
     asked_at: Option<Now>,
@@ -35,69 +35,71 @@
 impl Poll {
     fn is_due(&self, now: Now) -> bool {
         match self.asked_at {
-            Some(asked) => now.saturating_sub(asked) >= ANSWER_LOST,
+            Some(asked) => now.saturating_sub(asked) >= ANSWER_TIMEOUT,
             None => now >= self.next_at,
         }
     }
 
-    /// Plans the next read; true if the state changed between answering and not.
-    fn answered(&mut self, good: bool, now: Now, every: Duration, jitter: f64) -> bool {
-        let changed = good == (self.failures > 0);
-        self.failures = if good { 0 } else { self.failures + 1 };
+    /// Schedules the next read. Returns true if the resource has stopped or resumed answering.
+    fn answered(&mut self, succeeded: bool, now: Now, every: Duration, jitter: f64) -> bool {
+        let changed = succeeded == (self.failures > 0);
+        self.failures = if succeeded { 0 } else { self.failures + 1 };
         let backoff = every * 2u32.saturating_pow(self.failures.min(6));
-        let wait = if good {
+        let wait = if succeeded {
             every
         } else {
-            backoff.min(MOST_BACKOFF)
+            backoff.min(MAX_BACKOFF)
         };
         self.asked_at = None;
         self.next_at = now + wait.mul_f64(jitter);
-        changed && (!good || self.failures == 0)
+        changed && (!succeeded || self.failures == 0)
     }
 }
 
-/// What an entry keeps of the platform.
+/// The entry's view of the platform.
 #[derive(Debug, Default)]
 pub struct PlatformState {
     log: Poll,
     list: Poll,
-    /// Lives whose VM has been on the list.
+    /// Incarnations whose VM has been on the list.
     listed: std::collections::BTreeSet<Incarnation>,
+    /// Names of listed targets that the newest list lacks.
     absent: Vec<std::sync::Arc<str>>,
     was_behind: bool,
 }
 
 impl EntryCore {
-    /// Asks for what is due and keeps the head in the log.
+    /// Starts the reads that are due, keeps the head in the log and ends absent incarnations.
     pub(crate) fn tick_platform(&mut self) {
         if self.platform.log.is_due(self.now) {
             self.platform.log.asked_at = Some(self.now);
-            self.out.push(EntryAction::ReadLog(self.config.read_from()));
+            self.actions
+                .push(EntryAction::ReadLog(self.config.read_from()));
         }
         if self.platform.list.is_due(self.now) {
             self.platform.list.asked_at = Some(self.now);
-            self.out.push(EntryAction::ReadVmList);
+            self.actions.push(EntryAction::ReadVmList);
         }
-        self.config.close_old_gap(self.now, GAP_PATIENCE);
+        self.config.close_old_gap(self.now, GAP_TIMEOUT);
         self.keep_head_in_log();
-        self.end_absent_lives();
-        self.note_behind();
+        self.end_absent_incarnations();
+        self.log_if_behind();
     }
 
     fn jitter(&mut self) -> f64 {
         self.rng.random_range(0.8..1.2)
     }
 
-    /// Takes in a read of the log.
+    /// Handles the result of a read of the log.
     pub(crate) fn log_read(&mut self, batch: Option<LogBatch>) {
         let jitter = self.jitter();
-        let good = batch.is_some();
+        let succeeded = batch.is_some();
         let changed = self
             .platform
             .log
-            .answered(good, self.now, READ_LOG_EVERY, jitter);
+            .answered(succeeded, self.now, LOG_READ_EVERY, jitter);
         if changed {
-            let code = if good {
+            let code = if succeeded {
                 EventCode::LogUp
             } else {
                 EventCode::LogDown
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Puts a new configuration in force here and passes it on.
+    /// Applies a changed configuration and announces it to agents and peers.
     pub(crate) fn config_changed(&mut self) {
         let Some(document) = self.config.document().cloned() else {
             return;
@@ -152,15 +154,17 @@
         self.report_to_all();
     }
 
-    /// Agents learn the placement at the welcome, so a new one needs new sessions.
+    /// Closes all agents' sessions. Agents learn the placement mode only from the welcome, so a
+    /// new mode needs new sessions.
     fn close_all_agents(&mut self) {
         for session in self.agents.sessions() {
-            self.out.push(EntryAction::CloseAgent(session));
+            self.actions.push(EntryAction::CloseAgent(session));
             self.agent_closed(session);
         }
     }
 
-    /// Writes the head to the log again before retention drops it, unless another entry did.
+    /// Writes the head to the log again before retention drops it, unless another entry has done
+    /// so.
     fn keep_head_in_log(&mut self) {
         let jitter = self.jitter();
         let every = self.options.snapshot_every.mul_f64(jitter);
@@ -176,12 +180,12 @@
     fn send_snapshot(&mut self, state: ConfigState) {
         let detail = format!("version {}", state.stamp.version);
         self.log(EventCode::SnapshotSent, detail);
-        self.out
+        self.actions
             .push(EntryAction::AppendLog(LogRecord::Snapshot { state }));
         self.config.snapshot_sent(self.now);
     }
 
-    fn note_behind(&mut self) {
+    fn log_if_behind(&mut self) {
         let behind = self.config.newest_known().version > self.config.stamp().version;
         if behind && !self.platform.was_behind {
             let newest = self.config.newest_known().version;
@@ -190,16 +194,16 @@
         self.platform.was_behind = behind;
     }
 
-    /// Takes in the VM list. It may add and retire; its silence ends no live session.
+    /// Handles the VM list. It may add peers and retire targets; a failed read ends no incarnation.
     pub(crate) fn vm_list(&mut self, list: Option<Vec<VmRecord>>) {
         let jitter = self.jitter();
-        let good = list.is_some();
+        let succeeded = list.is_some();
         let changed = self
             .platform
             .list
-            .answered(good, self.now, READ_LIST_EVERY, jitter);
+            .answered(succeeded, self.now, LIST_READ_EVERY, jitter);
         if changed {
-            let code = if good {
+            let code = if succeeded {
                 EventCode::ListUp
             } else {
                 EventCode::ListDown
@@ -211,21 +215,21 @@
             return;
         };
         for vm in &list {
-            self.take_in_vm(vm);
+            self.apply_vm_record(vm);
         }
-        self.note_absent(&list);
+        self.record_absent(&list);
     }
 
-    fn take_in_vm(&mut self, vm: &VmRecord) {
+    fn apply_vm_record(&mut self, vm: &VmRecord) {
         match vm.role {
             VmRole::Entry => {
                 let own = vm.name == self.options.name;
                 if let (Some(address), VmState::Live, false) = (&vm.agent_address, vm.state, own) {
-                    self.out.push(EntryAction::KnowPeer(address.clone()));
+                    self.actions.push(EntryAction::KnowPeer(address.clone()));
                 }
             }
             VmRole::Target => {
-                for id in self.lives_of(&vm.name) {
+                for id in self.incarnations_of(&vm.name) {
                     self.platform.listed.insert(id);
                     if vm.state == VmState::Leaving {
                         self.target_leaves(id);
@@ -235,32 +239,32 @@
         }
     }
 
-    /// Remembers which lives were on the list and are not any more.
-    fn note_absent(&mut self, list: &[VmRecord]) {
+    /// Records the targets that were on an earlier list and are not on this one.
+    fn record_absent(&mut self, list: &[VmRecord]) {
         let on_list: std::collections::BTreeSet<_> = list.iter().map(|vm| &vm.name).collect();
-        let gone = self
+        let absent = self
             .targets
             .iter()
             .filter(|(id, t)| self.platform.listed.contains(id) && !on_list.contains(&t.name));
-        self.platform.absent = gone.map(|(_, t)| t.name.clone()).collect();
+        self.platform.absent = absent.map(|(_, t)| t.name.clone()).collect();
     }
 
-    /// Ends lives that left the list and have had no session for a while.
-    fn end_absent_lives(&mut self) {
+    /// Ends incarnations that left the list and have had no session for [`ABSENCE_TIMEOUT`].
+    fn end_absent_incarnations(&mut self) {
         let absent = std::mem::take(&mut self.platform.absent);
         for name in &absent {
-            for id in self.lives_of(name) {
-                let long_lost = self.targets.get(id).and_then(|t| t.lost_at);
-                if long_lost.is_some_and(|at| self.now.saturating_sub(at) >= GONE_AFTER) {
+            for id in self.incarnations_of(name) {
+                let lost_at = self.targets.get(id).and_then(|t| t.lost_at);
+                if lost_at.is_some_and(|at| self.now.saturating_sub(at) >= ABSENCE_TIMEOUT) {
                     self.platform.listed.remove(&id);
-                    self.life_over(id);
+                    self.end_incarnation(id);
                 }
             }
         }
         self.platform.absent = absent;
     }
 
-    /// Answers an operator's question for the status.
+    /// Replies to an operator with the status.
     pub(crate) fn report_status(&mut self, request: RequestId) {
         let status = self.status();
         self.reply(request, Reply::Status(Box::new(status)));
--- a/lib/src/entry_router.rs
+++ b/lib/src/entry_router.rs
@@ -1,4 +1,4 @@
-//! Carries out what an entry's core wants, by the rings to the other threads.
+//! Carries out the actions of an entry's core by way of the rings to the other threads.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -19,13 +19,13 @@
 use crate::telemetry::{Levels, Report};
 use crate::worker_threads::{ServerEnd, push_or_wait, report};
 
-/// How often levels are reported.
-const LEVELS_EVERY: Duration = Duration::from_secs(1);
+/// Interval between reports of levels to telemetry.
+const LEVELS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Ends the HTTP servers, once.
-pub(crate) type ServerEnder = Arc<Mutex<Option<oneshot::Sender<ServerEnd>>>>;
+/// Sender that ends the HTTP servers; taken at its first use.
+pub(crate) type ServerEndSender = Arc<Mutex<Option<oneshot::Sender<ServerEnd>>>>;
 
-/// The rings from the core, and those who wait for its answers.
+/// Rings from the core to the other threads, and the requests that wait for a reply.
 pub(crate) struct EntryRouter {
     pub(crate) pending: HashMap<RequestId, oneshot::Sender<Reply>>,
     pub(crate) agents: RingTx<LinkCommand<EntryMessage>>,
@@ -34,8 +34,8 @@
     pub(crate) reports: RingTx<Report>,
     pub(crate) own_address: String,
     pub(crate) traffic: Arc<LinkTraffic>,
-    pub(crate) server_end: ServerEnder,
-    pub(crate) levels_at: BootInstant,
+    pub(crate) server_end: ServerEndSender,
+    pub(crate) levels_reported_at: BootInstant,
 }
 
 impl EntryRouter {
@@ -93,7 +93,7 @@
     fn route(&mut self, action: EntryAction) -> Next {
         match action {
             EntryAction::Reply { request, reply } => {
-                // Without a receiver the caller is gone, and nobody is left to answer.
+                // The send fails if the caller has disconnected; the reply is dropped then.
                 if let Some(tx) = self.pending.remove(&request) {
                     let _ = tx.send(reply);
                 }
@@ -111,7 +111,7 @@
                 push_or_wait(&mut self.peers, LinkCommand::Close(session));
             }
             EntryAction::KnowPeer(address) => {
-                // Of two entries only one dials, so that they hold one session.
+                // Only the entry with the lower address dials, so two entries hold one session.
                 if address > self.own_address {
                     push_or_wait(&mut self.peers, LinkCommand::Dial(address));
                 }
@@ -135,10 +135,10 @@
     }
 
     fn observe(&mut self, core: &EntryCore) {
-        if self.levels_at.elapsed() < LEVELS_EVERY {
+        if self.levels_reported_at.elapsed() < LEVELS_INTERVAL {
             return;
         }
-        self.levels_at = BootInstant::now();
+        self.levels_reported_at = BootInstant::now();
         let levels = Levels {
             counters: core.counters().clone(),
             waiting: u64::from(core.waiting_tasks()),
--- a/lib/src/entry_targets.rs
+++ b/lib/src/entry_targets.rs
@@ -1,4 +1,4 @@
-//! The entry's side of agents: sessions, dispatches and their fates.
+//! Agents as the entry sees them: sessions, dispatches and the outcomes of dispatches.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -21,48 +21,48 @@
 use crate::placement::Signal;
 use crate::target_table::{Outstanding, Target};
 
-/// A quiet session gets a heartbeat after this, at the least.
+/// Minimum interval between heartbeats on an idle session.
 pub const HEARTBEAT_EVERY: Duration = Duration::from_secs(1);
-/// A quiet session gets a heartbeat after this, at the most.
-const MOST_HEARTBEAT_EVERY: Duration = Duration::from_secs(10);
-/// A session is given up when nothing was heard for so many times its heartbeat interval.
+/// Maximum interval between heartbeats on an idle session.
+const MAX_HEARTBEAT_EVERY: Duration = Duration::from_secs(10);
+/// A session is closed after this many heartbeat intervals without a frame.
 pub const SILENT_HEARTBEATS: f64 = 3.5;
-/// Bytes of a heartbeat and its counterpart on the wire (docs/CAPACITY.md).
+/// Bytes on the wire of a heartbeat and its counterpart; see docs/CAPACITY.md.
 const HEARTBEAT_BYTES: f64 = 158.0;
-/// Bytes a second that the heartbeats of an entry may take, both ways.
+/// Bytes per second for all heartbeats of an entry, both directions together.
 const HEARTBEAT_BUDGET: f64 = 6_000.0;
-/// A life that left the VM list is over when its session has been gone for this.
-pub const GONE_AFTER: Duration = Duration::from_secs(3);
-/// Weight of a new observation in a target's slowness.
+/// An incarnation that left the VM list ends after this long without a session.
+pub const ABSENCE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Weight of a new observation in the moving average of a target's slowness.
 const SLOWNESS_WEIGHT: f64 = 0.1;
-/// Shortest expected time that slowness is judged by.
-const LEAST_JUDGED: Duration = Duration::from_millis(5);
+/// Expected run times below this count as this when slowness is computed.
+const MIN_EXPECTED: Duration = Duration::from_millis(5);
 
 impl EntryCore {
-    /// Takes in an agent's hello: welcomes it with what is still open from before.
+    /// Handles an agent's hello. The welcome lists the dispatches that are still open.
     pub(crate) fn agent_opened(&mut self, session: SessionId, hello: AgentHello) {
         if hello.protocol != PROTOCOL_VERSION {
             let found = hello.protocol;
             let detail = format!("{}: protocol {found}, not {PROTOCOL_VERSION}", hello.name);
             self.log(EventCode::AgentRefused, detail);
-            self.out.push(EntryAction::CloseAgent(session));
+            self.actions.push(EntryAction::CloseAgent(session));
             return;
         }
-        self.end_former_lives(&hello);
+        self.end_former_incarnations(&hello);
         let id = hello.incarnation;
         let target = Target::new(hello.name.clone(), hello.hall.clone(), hello.capacity);
         self.targets.insert(id, target);
         self.health.add(id);
         if let Some(old) = self.targets.attach(id, session) {
             self.agents.close(old);
-            self.out.push(EntryAction::CloseAgent(old));
+            self.actions.push(EntryAction::CloseAgent(old));
         }
         let passed = Passed {
             sent: 0,
             received: 1,
         };
         self.agents.open(session, AgentLink, passed, self.now);
-        self.note_clock(id, hello.uptime_ms);
+        self.record_clock_offset(id, hello.uptime_ms);
         self.config.heard_of(hello.config);
         if hello.leaving {
             self.target_leaves(id);
@@ -71,26 +71,26 @@
         self.welcome(id);
         self.release_leaving(id);
         self.send_agent_config(id);
-        self.release_leftover_claims(id);
+        self.send_deferred_releases(id);
     }
 
-    /// A new life under a known name is proof that the former one is over.
-    fn end_former_lives(&mut self, hello: &AgentHello) {
+    /// Ends former incarnations under the agent's name; a new one proves that they are over.
+    fn end_former_incarnations(&mut self, hello: &AgentHello) {
         let former = self.targets.iter();
         let former: Vec<Incarnation> = former
             .filter(|(id, t)| t.name == hello.name && *id != hello.incarnation)
             .map(|(id, _)| id)
             .collect();
         for id in former {
-            self.life_over(id);
+            self.end_incarnation(id);
         }
     }
 
-    /// With more sessions heartbeats get rarer, so that all together stay within their budget.
-    /// The death of a process still shows at once, by its closed connection.
+    /// The heartbeat interval. It grows with the number of sessions to keep all heartbeats within
+    /// their byte budget. A crashed process is still noticed at once by its closed connection.
     fn heartbeat_every(&self) -> Duration {
         let seconds = self.agents.len() as f64 * HEARTBEAT_BYTES / HEARTBEAT_BUDGET;
-        Duration::from_secs_f64(seconds).clamp(HEARTBEAT_EVERY, MOST_HEARTBEAT_EVERY)
+        Duration::from_secs_f64(seconds).clamp(HEARTBEAT_EVERY, MAX_HEARTBEAT_EVERY)
     }
 
     fn welcome(&mut self, id: Incarnation) {
@@ -130,25 +130,25 @@
         }
     }
 
-    fn note_clock(&mut self, id: Incarnation, uptime_ms: u64) {
+    fn record_clock_offset(&mut self, id: Incarnation, uptime_ms: u64) {
         let offset = uptime_ms as i64 - self.now.as_millis() as i64;
         self.targets.update(id, |t| t.clock_offset_ms = offset);
     }
 
-    /// Takes in an agent's frame.
+    /// Handles a frame of an agent.
     pub(crate) fn agent_frame(&mut self, session: SessionId, frame: Frame<AgentMessage>) {
         match self.agents.accept(session, frame.n, self.now) {
             Some(FrameOrder::Next) => {}
             Some(FrameOrder::Gap) => {
                 self.log(EventCode::SessionGap, format!("agent session {session}"));
-                self.out.push(EntryAction::CloseAgent(session));
+                self.actions.push(EntryAction::CloseAgent(session));
                 self.agent_closed(session);
                 return;
             }
             Some(FrameOrder::Copy) | None => return,
         }
         for message in frame.messages {
-            // A message may end the session or the life that it came from.
+            // A message may end the session or the incarnation that sent it.
             let Some(id) = self.targets.by_session(session) else {
                 return;
             };
@@ -162,7 +162,7 @@
             AgentMessage::Hello(_) => {}
             AgentMessage::Reconciled(fates) => self.reconciled(id, fates),
             AgentMessage::Refused { seq, reason, free } => {
-                self.note_free(id, free);
+                self.record_free_slots(id, free);
                 self.dispatch_refused(id, seq, reason);
             }
             AgentMessage::Finished {
@@ -171,7 +171,7 @@
                 run_ms,
                 free,
             } => {
-                self.note_free(id, free);
+                self.record_free_slots(id, free);
                 let took = Duration::from_millis(u64::from(run_ms));
                 self.dispatch_finished(id, seq, outcome, Some(took));
             }
@@ -182,8 +182,8 @@
                 free,
                 config,
             } => {
-                self.note_clock(id, uptime_ms);
-                self.note_free(id, free);
+                self.record_clock_offset(id, uptime_ms);
+                self.record_free_slots(id, free);
                 self.config.heard_of(config);
             }
             AgentMessage::Claimed { claim, answer } => self.claimed(claim, answer),
@@ -195,8 +195,8 @@
         }
     }
 
-    /// Keeps a report of slots without a task; some placements take it for slots to dispatch to.
-    fn note_free(&mut self, id: Incarnation, free: u32) {
+    /// Records the free slots that an agent reports. Some placement modes dispatch to them.
+    fn record_free_slots(&mut self, id: Incarnation, free: u32) {
         self.targets.update(id, |t| t.free_seen = free);
         if self.placement.trusts_reports() {
             self.targets.set_credits(id, free);
@@ -213,11 +213,11 @@
 
     fn slots_recalled(&mut self, id: Incarnation, n: u32) {
         self.targets.take_credits(id, n);
-        // The recall, and the loan that came to nothing.
+        // Counts the recall and the lend message that it cancels.
         self.counters.wasted += 2;
     }
 
-    /// Settles what was open when the session was lost.
+    /// Settles the dispatches that were open when the last session was lost.
     fn reconciled(&mut self, id: Incarnation, fates: Vec<SettledDispatch>) {
         for settled in fates {
             match settled.fate {
@@ -239,7 +239,7 @@
         Some(settled)
     }
 
-    /// Tells a leaving agent at once that nothing of it is waited for any more.
+    /// Sends a leaving agent its release as soon as none of its dispatches is open.
     fn release_leaving(&mut self, id: Incarnation) {
         let Some(target) = self.targets.get(id) else {
             return;
@@ -250,7 +250,7 @@
         }
     }
 
-    /// A dispatch is proven never to have started: its task may go elsewhere.
+    /// Requeues the task of a dispatch that is proven never to have started.
     fn dispatch_refused(&mut self, id: Incarnation, seq: DispatchSeq, reason: DispatchRefusal) {
         let Some(outstanding) = self.settle_dispatch(id, seq) else {
             return;
@@ -262,13 +262,13 @@
         }
         let Outstanding { job, task, .. } = outstanding;
         let target = self.target_name(id);
-        self.journal.add(job, self.now, || StepKind::NotStarted {
+        self.history.add(job, self.now, || StepKind::NotStarted {
             task,
             target,
             reason: format!("{reason:?}"),
         });
         if let Some(waiting) = self.waiting_task(job, task) {
-            self.jobs.put_back(job, waiting);
+            self.jobs.requeue(job, waiting);
         }
     }
 
@@ -279,7 +279,7 @@
         Some(WaitingTask { index, expected })
     }
 
-    /// A dispatch has ended, or may have run and will not be heard of again.
+    /// Settles a dispatch that has ended, or that may have run and whose outcome is lost.
     fn dispatch_finished(
         &mut self,
         id: Incarnation,
@@ -291,7 +291,7 @@
             return;
         };
         let Outstanding { job, task, .. } = outstanding;
-        // An agent whose clock stepped reports nonsense; it can't have taken longer than this.
+        // Caps the reported run time, which is wrong if the agent's clock was stepped.
         let since_sent = self.now.saturating_sub(outstanding.sent_at);
         let took = took.map(|t| t.min(since_sent));
         if !outstanding.revoked {
@@ -314,7 +314,7 @@
         job.total_run += took;
         let spec = &job.spec.tasks[task as usize];
         let expected = self.run_times.estimate(&job.spec.team, spec).mean;
-        let ratio = took.as_secs_f64() / expected.max(LEAST_JUDGED).as_secs_f64();
+        let ratio = took.as_secs_f64() / expected.max(MIN_EXPECTED).as_secs_f64();
         self.run_times.observe(&job.spec.team, &spec.kind, took);
         self.targets.update(id, |t| {
             t.slowness += SLOWNESS_WEIGHT * (ratio.min(10.0) - t.slowness);
@@ -341,14 +341,14 @@
         let name = self.target_name(id);
         self.log(code, &*name);
         if allowance == 0 {
-            let back = self.targets.take_credits(id, u32::MAX);
-            if back > 0 {
-                self.send_agent(id, EntryMessage::GiveBack(back));
+            let returned = self.targets.take_credits(id, u32::MAX);
+            if returned > 0 {
+                self.send_agent(id, EntryMessage::GiveBack(returned));
             }
         }
     }
 
-    /// Gives a target no new work for the rest of this life.
+    /// Excludes a target from new work for the rest of its incarnation.
     pub(crate) fn target_leaves(&mut self, id: Incarnation) {
         let was = self
             .targets
@@ -359,8 +359,8 @@
         }
     }
 
-    /// A session is gone. Silence is no proof: what is out stays open until the agent comes
-    /// back or its life is known to be over.
+    /// Handles the end of a session. Open dispatches stay open until the agent reconnects or its
+    /// incarnation is known to be over, because a lost session does not prove that nothing runs.
     pub(crate) fn agent_closed(&mut self, session: SessionId) {
         self.agents.close(session);
         let Some(id) = self.targets.detach(session, self.now) else {
@@ -371,7 +371,8 @@
         self.refuse_claims_at(id);
     }
 
-    /// An agent stops in order. If it has told of all that started, the rest may go elsewhere.
+    /// Ends an agent that stops in an orderly way. If it has reported every task that started,
+    /// the tasks of its open dispatches are requeued.
     fn goodbye(&mut self, id: Incarnation, clean: bool) {
         if clean {
             let open = self.targets.get(id).map(|t| t.outstanding.keys().copied());
@@ -380,21 +381,21 @@
                 self.dispatch_refused(id, seq, DispatchRefusal::NeverSeen);
             }
         }
-        self.life_over(id);
+        self.end_incarnation(id);
     }
 
-    /// A life is over: what was out may have run, and will not be heard of again.
-    pub(crate) fn life_over(&mut self, id: Incarnation) {
+    /// Ends an incarnation. The tasks of its open dispatches may have run and count as lost.
+    pub(crate) fn end_incarnation(&mut self, id: Incarnation) {
         let Some(target) = self.targets.retire(id) else {
             return;
         };
         self.health.remove(id);
         if let Some(session) = target.session {
             self.agents.close(session);
-            self.out.push(EntryAction::CloseAgent(session));
+            self.actions.push(EntryAction::CloseAgent(session));
         }
         self.refuse_claims_at(id);
-        self.unreleased.remove(&id);
+        self.deferred_releases.remove(&id);
         self.log(EventCode::AgentGone, format!("{} {id:016x}", target.name));
         for outstanding in target.outstanding.values() {
             let Outstanding { job, task, .. } = *outstanding;
@@ -402,15 +403,15 @@
         }
     }
 
-    /// Hands out waiting tasks while there are slots for them, then tells agents what is needed.
-    pub(crate) fn pump(&mut self) {
+    /// Dispatches waiting tasks while slots are free, then signals the remaining demand to agents.
+    pub(crate) fn place_waiting_tasks(&mut self) {
         let mut blocked = BTreeSet::new();
         while self.targets.ready().next().is_some() {
             let Some(next) = self.jobs.next(&blocked) else {
                 break;
             };
             match self.placement.choose(&next.need, &self.targets) {
-                Some(target) => self.hand_out(next, target),
+                Some(target) => self.dispatch_task(next, target),
                 None => {
                     blocked.insert(next.need);
                 }
@@ -423,8 +424,8 @@
         self.send_signals(signals);
     }
 
-    /// Asks more widely for tasks that have waited since the last tick.
-    fn remind(&mut self) {
+    /// Signals demand to more agents if tasks still wait at a tick.
+    fn widen_demand(&mut self) {
         let waiting = self.jobs.waiting();
         if waiting.tasks > 0 {
             let signals = self
@@ -443,7 +444,7 @@
         }
     }
 
-    fn hand_out(&mut self, next: NextTask, target: Incarnation) {
+    fn dispatch_task(&mut self, next: NextTask, target: Incarnation) {
         let Some(task) = self.jobs.take_task(next.job) else {
             return;
         };
@@ -460,7 +461,7 @@
             t.next_seq += 1;
             t.outstanding.insert(seq, outstanding);
             t.free_seen = t.free_seen.saturating_sub(1);
-            // The agent lowers its demand by the dispatch in the same way.
+            // The agent lowers the demand that it has recorded in the same way.
             t.asked = t.asked.min(waiting);
             (seq, t.settled_below())
         });
@@ -478,7 +479,7 @@
         };
         self.counters.dispatched += 1;
         let name = self.target_name(target);
-        self.journal
+        self.history
             .add(next.job, self.now, || StepKind::Dispatched {
                 task: task.index,
                 target: name,
@@ -486,7 +487,7 @@
         self.send_agent(target, EntryMessage::Dispatch(dispatch));
     }
 
-    /// Stops what still runs of a job that has been answered, in one message an agent.
+    /// Revokes the open dispatches of an answered job, with one message per agent.
     pub(crate) fn revoke_job(&mut self, job: JobSeq) {
         let mut by_target: BTreeMap<Incarnation, Vec<DispatchSeq>> = BTreeMap::new();
         for (id, target) in self.targets.iter() {
@@ -509,37 +510,37 @@
         }
     }
 
-    /// Heartbeats, silent sessions and probes.
+    /// Closes silent sessions, advances health probes and sends heartbeats and demand.
     pub(crate) fn tick_targets(&mut self) {
         for session in self.agents.silent(self.now) {
-            self.out.push(EntryAction::CloseAgent(session));
+            self.actions.push(EntryAction::CloseAgent(session));
             self.agent_closed(session);
         }
         for change in self.health.tick(self.now) {
             self.apply_health(change);
         }
         self.send_heartbeats();
-        self.remind();
+        self.widen_demand();
     }
 
     fn send_heartbeats(&mut self) {
         let now = self.now;
-        let is_quiet = |t: &Target| now.saturating_sub(t.last_sent) >= t.heartbeat_every;
-        let quiet: Vec<Incarnation> = self
+        let is_idle = |t: &Target| now.saturating_sub(t.last_sent) >= t.heartbeat_every;
+        let idle: Vec<Incarnation> = self
             .targets
             .iter()
-            .filter(|(_, t)| t.session.is_some() && is_quiet(t))
+            .filter(|(_, t)| t.session.is_some() && is_idle(t))
             .map(|(id, _)| id)
             .collect();
-        for id in quiet {
+        for id in idle {
             let settled_below = self.targets.get(id).map_or(0, Target::settled_below);
             self.send_agent(id, EntryMessage::Heartbeat { settled_below });
         }
     }
 
-    /// Target by name, for the VM list.
-    pub(crate) fn lives_of(&self, name: &Arc<str>) -> Vec<Incarnation> {
-        let lives = self.targets.iter().filter(|(_, t)| t.name == *name);
-        lives.map(|(id, _)| id).collect()
+    /// Known incarnations of the target with this name.
+    pub(crate) fn incarnations_of(&self, name: &Arc<str>) -> Vec<Incarnation> {
+        let incarnations = self.targets.iter().filter(|(_, t)| t.name == *name);
+        incarnations.map(|(id, _)| id).collect()
     }
 }
--- a/lib/src/job.rs
+++ b/lib/src/job.rs
@@ -1,4 +1,4 @@
-//! What callers submit and what they hear back.
+//! Jobs that callers submit, and the answers to them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,25 +7,25 @@
 
 use crate::ids::{JobId, TeamName};
 
-/// Most tasks in one job (the letter's target).
+/// Maximum number of tasks in one job.
 pub const MAX_TASKS_PER_JOB: usize = 1_100;
 
-/// One short piece of work.
+/// A single task of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TaskSpec {
-    /// What the target is to do, such as `unlock`. Run times are learned per kind.
+    /// Operation that the target performs, such as `unlock`. Run times are learned per kind.
     pub kind: Arc<str>,
-    /// Handed to the target as it is.
+    /// Passed to the target unchanged.
     #[serde(default = "empty_text")]
     pub payload: Arc<str>,
-    /// The caller's guess of the run time, in milliseconds. A hint only.
+    /// The caller's estimate of the run time, in milliseconds. It is only a hint.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub expected_ms: u32,
     /// Memory needed, in MiB.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub memory_mib: u32,
-    /// Accelerators needed.
+    /// Number of accelerators needed.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub accelerators: u32,
 }
@@ -41,13 +41,13 @@
 /// A batch of tasks that is answered as a whole.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobSpec {
-    /// Who pays for it.
+    /// The team whose quota the job counts against.
     pub team: TeamName,
-    /// The tasks, at least one.
+    /// The tasks; never empty.
     pub tasks: Arc<[TaskSpec]>,
     /// How long the caller waits, counted from arrival.
     pub deadline: Duration,
-    /// False for a request that must run at most once, across resubmissions.
+    /// False if the request must run at most once, resubmissions included.
     pub repeatable: bool,
     /// The permit text, for a request that is not repeatable.
     pub permit: Option<String>,
@@ -55,39 +55,39 @@
     pub trace: Option<Arc<str>>,
 }
 
-/// The one answer to a request.
+/// The answer to a submission; each submission gets exactly one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "status", rename_all = "snake_case")]
 pub enum Answer {
-    /// Every task ended well; results stand in the order of the tasks.
+    /// All tasks succeeded.
     Complete {
         /// The job.
         job: JobIdText,
-        /// One result a task.
+        /// One result per task, in the order of the tasks.
         results: Vec<Arc<str>>,
     },
-    /// The job did not end well.
+    /// The job was admitted and failed.
     Failed {
         /// The job.
         job: JobIdText,
-        /// Why.
+        /// Why the job failed.
         reason: Failure,
         /// Whether any task may have started.
         may_have_run: bool,
     },
-    /// Nothing of it ran, and nothing of it will.
+    /// No task of the job ran or will run.
     Refused {
-        /// Why.
+        /// Why the request was refused.
         #[serde(flatten)]
         refusal: Refusal,
     },
 }
 
-/// A job id as callers read it.
+/// Text form of a job id, as callers see it.
 pub type JobIdText = String;
 
 impl Answer {
-    /// Builds the answer of a job that ended badly.
+    /// Builds the answer to a failed job.
     pub fn failed(job: JobId, reason: Failure, may_have_run: bool) -> Self {
         Self::Failed {
             job: job.to_string(),
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Builds a refusal.
+    /// Builds a refusal without a retry time.
     pub fn refused(reason: RefusalReason) -> Self {
         Self::Refused {
             refusal: Refusal {
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Builds a refusal that says when to come back.
+    /// Builds a refusal that says when to retry.
     pub fn refused_until(reason: RefusalReason, retry_after: Duration) -> Self {
         Self::Refused {
             refusal: Refusal {
@@ -125,33 +125,33 @@
     TaskFailed {
         /// Position of the task.
         task: u16,
-        /// What the target said.
+        /// Error message of the target.
         message: Arc<str>,
     },
-    /// A task's target stopped it or was lost while it may have been running.
+    /// The target stopped the task, or was lost while the task may have been running.
     TargetLost {
         /// Position of the task.
         task: u16,
         /// Name of the target.
         target: Arc<str>,
     },
-    /// The caller's deadline passed, or it became certain that it would.
+    /// The caller's deadline passed.
     DeadlinePassed,
-    /// The caller cancelled the job or went away.
+    /// The caller cancelled the job or disconnected.
     Cancelled,
-    /// The permit was used by an earlier submission whose fate is not known.
+    /// The permit was used by an earlier submission whose outcome is not known.
     EarlierSubmissionUnknown,
-    /// The entry that held the job stopped before it ended.
+    /// The entry that held the job stopped before the job ended.
     EntryStopped,
 }
 
-/// A refusal: nothing of the request ran.
+/// Why a request was refused and when to retry it. No task of the request ran.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     #[serde(flatten)]
     pub reason: RefusalReason,
-    /// When it is worth coming back, in milliseconds.
+    /// Time until a retry is worthwhile, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
@@ -162,12 +162,12 @@
 pub enum RefusalReason {
     /// The request is not well formed.
     Malformed {
-        /// The place and what was expected there.
+        /// Position of the error and what was expected there.
         message: String,
     },
     /// The body or the number of tasks is over its limit.
     TooLarge {
-        /// The largest that is accepted.
+        /// Largest accepted value.
         limit: u64,
     },
     /// The key belongs to no team.
@@ -177,57 +177,58 @@
         /// The team's share at this entry, in tasks.
         share: u32,
     },
-    /// No target could ever run one of the tasks.
+    /// No known target could ever run one of the tasks.
     Impossible {
         /// Position of the task.
         task: u16,
-        /// What it needs that no target has.
+        /// Resource that the task needs and no target has.
         need: String,
     },
-    /// The job could not end before its deadline.
+    /// The job is not expected to end before its deadline.
     WouldMissDeadline {
         /// Estimated response time in milliseconds.
         estimate_ms: u64,
     },
-    /// Too much is waiting already.
+    /// Too many tasks wait already.
     Busy,
     /// No target is connected.
     NoTargets,
-    /// The deadline passed while nothing of the job had run.
+    /// The deadline passed before any task of the job ran.
     DeadlinePassed,
-    /// Cancelled while nothing of the job had run.
+    /// The job was cancelled before any of its tasks ran.
     Cancelled,
     /// The entry is being stopped.
     Stopping,
-    /// The entry has no configuration, or knows that it holds an old one.
+    /// The entry has no configuration, or knows that a newer one exists.
     ConfigurationBehind,
     /// A request that is not repeatable needs a permit.
     PermitNeeded {
-        /// Where to get one.
+        /// URL path where callers get a permit.
         path: String,
     },
-    /// The permit is not one of ours, or belongs to another team or request.
+    /// The permit was not issued by this fleet, or belongs to another team or request.
     PermitInvalid,
-    /// The permit can be used no more; take a new one only if the request is known not to have run.
+    /// The permit can no longer be used. A caller may take a new one only if it knows that the
+    /// request did not run.
     PermitVoid,
-    /// The permit's registrar can't be reached now.
+    /// The permit's registrar can't be reached at present.
     PermitUnreachable,
     /// An earlier submission under the permit is still running.
     EarlierSubmissionRunning,
-    /// No such job here, or not this team's.
+    /// The entry has no such job, or the job belongs to another team.
     UnknownJob,
 }
 
 /// How one task ended on its target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskOutcome {
-    /// Ended well, with its result.
+    /// The task succeeded with this result.
     #[serde(rename = "ok")]
     Succeeded(Arc<str>),
-    /// The target reported an error.
+    /// The target reported this error.
     #[serde(rename = "err")]
     Failed(Arc<str>),
-    /// Stopped, or lost sight of, after it may have started.
+    /// The task was stopped, or its target lost, after it may have started.
     #[serde(rename = "lost")]
     Lost,
 }
--- a/lib/src/job_history.rs
+++ b/lib/src/job_history.rs
@@ -1,4 +1,5 @@
-//! What happened to recent jobs, for `explain`. Bounded; the oldest jobs drop out first.
+//! Timelines of recent jobs for `explain`. The history is bounded; the oldest jobs are evicted
+//! first.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -7,12 +8,12 @@
 
 use crate::ids::{JobSeq, Now, TaskIndex, TeamName};
 
-/// Jobs remembered.
-const MOST_JOBS: usize = 1_000;
-/// Steps remembered for one job.
-const MOST_STEPS: usize = 200;
+/// Maximum number of jobs in the history.
+const MAX_JOBS: usize = 1_000;
+/// Maximum number of steps per job.
+const MAX_STEPS: usize = 200;
 
-/// One thing that happened to a job.
+/// A step in the timeline of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
     /// Milliseconds since the job arrived.
@@ -22,20 +23,20 @@
     pub what: StepKind,
 }
 
-/// The things that happen to a job.
+/// Kinds of steps in the timeline of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "step", rename_all = "snake_case")]
 pub enum StepKind {
-    /// Let in.
+    /// The job was admitted.
     Admitted {
-        /// Its tasks.
+        /// Number of tasks.
         tasks: u32,
         /// Estimated response time in milliseconds.
         estimate_ms: u64,
     },
-    /// The permit's registrar let it run.
+    /// The registrar granted the job's permit.
     PermitGranted,
-    /// A task was handed to a target.
+    /// A task was dispatched to a target.
     Dispatched {
         /// Position of the task.
         task: TaskIndex,
@@ -48,7 +49,7 @@
         task: TaskIndex,
         /// Name of the target.
         target: Arc<str>,
-        /// Why.
+        /// Why the agent did not start it.
         reason: String,
     },
     /// A task ended.
@@ -57,7 +58,7 @@
         task: TaskIndex,
         /// Name of the target.
         target: Arc<str>,
-        /// How.
+        /// Outcome of the task.
         outcome: String,
     },
     /// The caller was answered.
@@ -67,62 +68,68 @@
     },
 }
 
-/// The story of one job.
+/// The recorded steps of one job.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct JobTimeline {
-    /// The team.
+    /// Team of the job.
     pub team: Arc<str>,
     /// The steps in order.
     pub steps: Vec<Step>,
-    /// Steps that did not fit.
+    /// Number of steps dropped because the timeline was full.
     pub left_out: u32,
 }
 
-/// Stories of recent jobs.
+/// Timelines of the most recent jobs.
 #[derive(Debug, Default)]
 pub struct JobHistory {
-    stories: HashMap<JobSeq, Chapter>,
+    recorded: HashMap<JobSeq, RecordedJob>,
     order: VecDeque<JobSeq>,
 }
 
 #[derive(Debug)]
-struct Chapter {
-    began: Now,
-    story: JobTimeline,
+struct RecordedJob {
+    arrived: Now,
+    timeline: JobTimeline,
 }
 
 impl JobHistory {
-    /// Starts the story of a job.
+    /// Starts the timeline of a job that arrives at `now`.
     pub fn begin(&mut self, job: JobSeq, team: &TeamName, now: Now) {
-        if self.order.len() >= MOST_JOBS
+        if self.order.len() >= MAX_JOBS
             && let Some(oldest) = self.order.pop_front()
         {
-            self.stories.remove(&oldest);
+            self.recorded.remove(&oldest);
         }
-        let story = JobTimeline {
+        let timeline = JobTimeline {
             team: team.clone(),
             ..JobTimeline::default()
         };
         self.order.push_back(job);
-        self.stories.insert(job, Chapter { began: now, story });
+        self.recorded.insert(
+            job,
+            RecordedJob {
+                arrived: now,
+                timeline,
+            },
+        );
     }
 
-    /// Adds a step to the story of a job, if it is still told.
+    /// Adds a step to the timeline of a job, if the history still holds it.
     pub fn add(&mut self, job: JobSeq, now: Now, what: impl FnOnce() -> StepKind) {
-        let Some(chapter) = self.stories.get_mut(&job) else {
+        let Some(recorded) = self.recorded.get_mut(&job) else {
             return;
         };
-        if chapter.story.steps.len() >= MOST_STEPS {
-            chapter.story.left_out += 1;
+        if recorded.timeline.steps.len() >= MAX_STEPS {
+            recorded.timeline.left_out += 1;
             return;
         }
-        let at_ms = now.saturating_sub(chapter.began).as_millis() as u64;
+        let at_ms = now.saturating_sub(recorded.arrived).as_millis() as u64;
         let what = what();
-        chapter.story.steps.push(Step { at_ms, what });
+        recorded.timeline.steps.push(Step { at_ms, what });
     }
 
-    /// The story of a job.
-    pub fn story(&self, job: JobSeq) -> Option<&JobTimeline> {
-        self.stories.get(&job).map(|c| &c.story)
+    /// The timeline of a job, if the history still holds it.
+    pub fn timeline(&self, job: JobSeq) -> Option<&JobTimeline> {
+        self.recorded.get(&job).map(|r| &r.timeline)
     }
 }
--- a/lib/src/job_table.rs
+++ b/lib/src/job_table.rs
@@ -1,4 +1,4 @@
-//! The jobs that an entry holds and the order in which their tasks wait.
+//! Jobs that an entry holds, and the queue of their waiting tasks.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -9,16 +9,16 @@
 use crate::job::{JobSpec, TaskSpec};
 use crate::placement::{TaskNeed, Waiting};
 
-/// How far a job has come.
+/// Phase of a job between admission and answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Phase {
-    /// Waits for the registrar of its permit.
+    /// The job waits for the registrar to grant its permit.
     Claiming,
-    /// Its tasks wait or run.
+    /// The tasks of the job wait or run.
     Open,
 }
 
-/// One task's place and expected length.
+/// A task that waits to be dispatched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WaitingTask {
     /// Position in the job.
@@ -30,38 +30,38 @@
 /// A job between admission and answer.
 #[derive(Debug)]
 pub struct Job {
-    /// Its name in the fleet.
+    /// Id of the job, unique in the fleet.
     pub id: JobId,
-    /// The request that gets the answer.
+    /// The request to answer.
     pub request: RequestId,
-    /// What was submitted.
+    /// The job as submitted.
     pub spec: JobSpec,
-    /// When it arrived.
+    /// Arrival time.
     pub arrived: Now,
-    /// When its caller stops waiting.
+    /// Time when the caller stops waiting.
     pub deadline: Now,
-    /// When it should be done, so that no job lags much further behind its ideal than others.
+    /// Soft target time, a multiple of the estimated run time. Jobs are queued in this order.
     pub due: Now,
-    /// How far it is.
+    /// Current phase.
     pub phase: Phase,
-    /// Results so far.
+    /// Results so far, by position of the task.
     pub results: Vec<Option<Arc<str>>>,
     /// Tasks that have ended.
     pub ended: u32,
-    /// Tasks handed out without a known end.
+    /// Tasks dispatched without a known end.
     pub in_flight: u32,
-    /// Tasks that wait, the longest last.
+    /// Waiting tasks; the last one is dispatched first.
     pub waiting: Vec<WaitingTask>,
-    /// Run time of its longest task so far.
+    /// Longest run time of a task so far.
     pub longest_run: Duration,
-    /// Run time of all its tasks so far.
+    /// Total run time of the tasks so far.
     pub total_run: Duration,
-    /// The claim on its permit, once sent.
+    /// The claim on the job's permit, once sent.
     pub claim: Option<ClaimTicket>,
 }
 
 impl Job {
-    /// Whether any task may have started: one has ended, or one is out without proof.
+    /// Whether any task may have started. An open dispatch counts, because it may be running.
     pub fn may_have_run(&self) -> bool {
         self.ended > 0 || self.in_flight > 0
     }
@@ -72,7 +72,7 @@
     }
 }
 
-/// What a task needs of a target.
+/// Resources that a task needs on a target.
 pub fn need_of(task: &TaskSpec) -> TaskNeed {
     TaskNeed {
         accelerators: task.accelerators,
@@ -80,15 +80,15 @@
     }
 }
 
-/// Place of a job in the queue: the one that is due first. docs/design/placement.md has the
-/// figures for this against the order of admission.
+/// Position of a job in the queue, by due time; docs/design/placement.md compares this with the
+/// order of admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueueKey {
     due: Now,
     job: JobSeq,
 }
 
-/// A task that is next in the queue.
+/// The task to dispatch next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NextTask {
     /// Its job.
@@ -97,7 +97,7 @@
     pub need: TaskNeed,
 }
 
-/// Jobs by number, and those with waiting tasks in order.
+/// Jobs of an entry, with indexes by request, due time and deadline.
 #[derive(Debug, Default)]
 pub struct JobTable {
     jobs: HashMap<JobSeq, Job>,
@@ -115,7 +115,7 @@
 }
 
 impl JobTable {
-    /// Adds a job. Its tasks wait from now on unless it still claims its permit.
+    /// Adds a job. Its tasks are queued at once unless the job still claims its permit.
     pub fn insert(&mut self, job: Job) {
         let seq = job.id.seq;
         self.requests.insert(job.request, seq);
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Lets the tasks of a job wait whose permit was granted.
+    /// Queues the tasks of a job whose permit was granted.
     pub fn open(&mut self, seq: JobSeq) {
         if let Some(job) = self.jobs.get_mut(&seq) {
             job.phase = Phase::Open;
@@ -151,7 +151,7 @@
         }
     }
 
-    fn uncount(&mut self, task: WaitingTask, accelerators: u32) {
+    fn subtract_waiting(&mut self, task: WaitingTask, accelerators: u32) {
         self.waiting.tasks -= 1;
         self.waiting.accelerated -= u32::from(accelerators > 0);
         self.waiting_work = self.waiting_work.saturating_sub(task.expected);
@@ -159,14 +159,14 @@
 
     /// The first waiting task whose need is not among `blocked`.
     pub fn next(&self, blocked: &BTreeSet<TaskNeed>) -> Option<NextTask> {
-        let free = |key: &QueueKey| {
+        let unblocked = |key: &QueueKey| {
             let need = self.jobs[&key.job].waiting_need()?;
             (!blocked.contains(&need)).then_some(NextTask { job: key.job, need })
         };
-        self.queue.iter().find_map(free)
+        self.queue.iter().find_map(unblocked)
     }
 
-    /// Takes the next waiting task of a job to hand it out.
+    /// Removes the next waiting task of a job from the queue and counts it as in flight.
     pub fn take_task(&mut self, seq: JobSeq) -> Option<WaitingTask> {
         let job = self.jobs.get_mut(&seq)?;
         let old_key = queue_key(job);
@@ -179,12 +179,12 @@
         if !empty {
             self.queue.insert(new_key);
         }
-        self.uncount(task, accelerators);
+        self.subtract_waiting(task, accelerators);
         Some(task)
     }
 
-    /// Lets a task wait again that is proven never to have started.
-    pub fn put_back(&mut self, seq: JobSeq, task: WaitingTask) {
+    /// Queues a task again that is proven never to have started.
+    pub fn requeue(&mut self, seq: JobSeq, task: WaitingTask) {
         let Some(job) = self.jobs.get_mut(&seq) else {
             return;
         };
@@ -200,7 +200,7 @@
         self.waiting_work += task.expected;
     }
 
-    /// Removes a job for good.
+    /// Removes a job and its waiting tasks.
     pub fn remove(&mut self, seq: JobSeq) -> Option<Job> {
         let job = self.jobs.remove(&seq)?;
         self.requests.remove(&job.request);
@@ -211,16 +211,16 @@
         if job.phase == Phase::Open {
             self.queue.remove(&queue_key(&job));
             for task in &job.waiting {
-                self.uncount(*task, job.spec.tasks[task.index as usize].accelerators);
+                self.subtract_waiting(*task, job.spec.tasks[task.index as usize].accelerators);
             }
         }
         Some(job)
     }
 
-    /// Jobs whose deadline has come.
-    pub fn due(&self, now: Now) -> Vec<JobSeq> {
-        let due = self.deadlines.iter().take_while(|key| key.deadline <= now);
-        due.map(|key| key.job).collect()
+    /// Jobs whose deadline has passed.
+    pub fn expired(&self, now: Now) -> Vec<JobSeq> {
+        let expired = self.deadlines.iter().take_while(|key| key.deadline <= now);
+        expired.map(|key| key.job).collect()
     }
 
     /// The next deadline.
@@ -228,27 +228,27 @@
         self.deadlines.first().map(|key| key.deadline)
     }
 
-    /// Looks a job up.
+    /// The job with this number.
     pub fn get(&self, seq: JobSeq) -> Option<&Job> {
         self.jobs.get(&seq)
     }
 
-    /// Looks a job up to change what the queue does not depend on.
+    /// The job with this number. Callers must not change the fields that the queue depends on.
     pub fn get_mut(&mut self, seq: JobSeq) -> Option<&mut Job> {
         self.jobs.get_mut(&seq)
     }
 
-    /// The job that a request waits for.
+    /// The job that answers a request.
     pub fn by_request(&self, request: RequestId) -> Option<JobSeq> {
         self.requests.get(&request).copied()
     }
 
-    /// Tasks that wait.
+    /// Counts of the waiting tasks.
     pub fn waiting(&self) -> Waiting {
         self.waiting
     }
 
-    /// Estimated work of the tasks that wait, in time of one slot.
+    /// Estimated work of the waiting tasks, as run time on one slot.
     pub fn waiting_work(&self) -> Duration {
         self.waiting_work
     }
@@ -265,7 +265,7 @@
         self.jobs.len()
     }
 
-    /// Whether there is no job.
+    /// Whether the table holds no job.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
--- a/lib/src/message.rs
+++ b/lib/src/message.rs
@@ -1,9 +1,9 @@
-//! Messages between our own processes. docs/PROTOCOL.md lists them with their sizes.
+//! Messages between entries and agents and between entries; docs/PROTOCOL.md lists them.
 //!
-//! A session is one WebSocket connection. Messages travel in numbered frames; the receiver
-//! drops a frame that it has seen and closes the session at a gap, so that a session is either
-//! an exact ordered stream or gone. What a lost session leaves open is settled by [`Welcome`]
-//! and [`AgentMessage::Reconciled`] on the next one.
+//! A session is one WebSocket connection. Messages travel in numbered frames. The receiver drops
+//! a frame that it has seen and closes the session at a gap, so a session delivers each message
+//! once and in order, or ends. Dispatches left open by a lost session are settled on the next one
+//! by [`Welcome`] and [`AgentMessage::Reconciled`].
 
 use std::sync::Arc;
 
@@ -15,33 +15,33 @@
 use crate::permit::{ClaimAnswer, PermitId, RequestDigest, StoredAnswer};
 use crate::placement::PlacementMode;
 
-/// Version of this protocol. A peer with another one is refused at hello.
+/// Version of this protocol. Processes with another version are refused at the hello.
 pub const PROTOCOL_VERSION: u16 = 1;
 
-/// A batch of messages in one WebSocket message.
+/// Messages that travel together in one WebSocket message.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Frame<M> {
-    /// Position in the session, from 1.
+    /// Number of the frame in its session, from 1.
     pub n: u64,
     /// The messages, in order.
     #[serde(rename = "m")]
     pub messages: Vec<M>,
 }
 
-/// First word of an agent on a new session.
+/// First message of an agent on a new session.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentHello {
     /// [`PROTOCOL_VERSION`] of the sender.
     pub protocol: u16,
     /// Name from the settings.
     pub name: NodeName,
-    /// This life of the agent.
+    /// Incarnation of the agent.
     pub incarnation: Incarnation,
     /// Data hall of the VM.
     pub hall: HallName,
-    /// What the target has.
+    /// Resources of the target.
     pub capacity: Capacity,
-    /// The agent's monotonic clock in milliseconds; permits expire by it.
+    /// The agent's monotonic clock in milliseconds. Permits expire on this clock.
     pub uptime_ms: u64,
     /// Newest configuration that the agent has heard of.
     pub config: ConfigStamp,
@@ -49,41 +49,41 @@
     pub leaving: bool,
 }
 
-/// What a target has to run tasks with.
+/// Resources of a target for running tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Capacity {
-    /// Tasks at a time.
+    /// Maximum number of concurrent tasks.
     pub slots: u32,
     /// Memory in MiB.
     pub memory_mib: u32,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
-/// An entry's answer to a hello: who it is and what it still waits for from this agent.
+/// An entry's answer to an agent's hello, with the dispatches that are still open.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Welcome {
     /// Name from the settings.
     pub name: NodeName,
-    /// This life of the entry.
+    /// Incarnation of the entry.
     pub incarnation: Incarnation,
     /// How this entry places tasks.
     pub placement: PlacementMode,
-    /// Whether this entry's life has dispatched to this agent's life before.
+    /// Whether this incarnation of the entry has dispatched to this incarnation of the agent.
     pub resume: bool,
-    /// Dispatches whose fate the entry does not know.
+    /// Dispatches whose outcome the entry does not know.
     pub outstanding: Vec<DispatchSeq>,
     /// Every dispatch below this is settled.
     pub settled_below: DispatchSeq,
     /// Configuration that the entry holds.
     pub config: ConfigStamp,
-    /// Addresses for agents of the entries that this one knows.
+    /// Addresses for agents of this entry and the peers that it knows.
     pub entries: Vec<String>,
-    /// Either side sends a heartbeat after so many quiet milliseconds.
+    /// Either side sends a heartbeat after this many idle milliseconds.
     pub heartbeat_ms: u32,
 }
 
-/// One task handed to an agent.
+/// A task dispatched to an agent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Dispatch {
     /// Number of the dispatch.
@@ -98,7 +98,7 @@
     /// Position in the job.
     #[serde(rename = "i")]
     pub task: TaskIndex,
-    /// The work.
+    /// The task to run.
     #[serde(rename = "t")]
     pub spec: TaskSpec,
     /// Tasks still waiting at the entry.
@@ -109,35 +109,36 @@
     pub trace: Option<Arc<str>>,
 }
 
-/// What an entry tells an agent.
+/// A message from an entry to an agent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum EntryMessage {
-    /// Answer to the hello, first on every session.
+    /// Answers the hello; first on every session.
     #[serde(rename = "W")]
     Welcome(Welcome),
-    /// Run a task.
+    /// Runs a task.
     #[serde(rename = "D")]
     Dispatch(Dispatch),
-    /// Never start these, and stop those that run.
+    /// Revokes dispatches: those not started never start, and those running are stopped.
     #[serde(rename = "K")]
     Revoke(Vec<DispatchSeq>),
-    /// Tasks that wait here for a slot of this agent.
+    /// Number of tasks that wait at the entry for a slot of this agent.
     #[serde(rename = "N")]
     Demand(u32),
-    /// Ask once for each of this many tasks when a slot falls free (late binding).
+    /// Queues this many reservations: the agent offers a slot for each when one becomes free
+    /// (late binding).
     #[serde(rename = "Q")]
     Reserve(u32),
-    /// Lent slots that the entry does not need.
+    /// Returns this many lent slots that the entry does not need.
     #[serde(rename = "G")]
     GiveBack(u32),
-    /// Sign of life on a quiet session.
+    /// Keeps an idle session alive.
     #[serde(rename = "H")]
     Heartbeat {
         /// Every dispatch below this is settled.
         #[serde(rename = "f")]
         settled_below: DispatchSeq,
     },
-    /// To a leaving agent: nothing of it is waited for, and nothing more will be sent.
+    /// Releases a leaving agent: none of its dispatches is open, and no more will be sent.
     #[serde(rename = "E")]
     Released {
         /// Every dispatch below this is settled.
@@ -147,13 +148,13 @@
     /// The part of the configuration that agents need.
     #[serde(rename = "C")]
     Config(AgentConfig),
-    /// May this request run?
+    /// Asks the registrar whether a request may run under its permit.
     #[serde(rename = "P")]
     Claim(Claim),
-    /// A claimed request did not run and will not: the permit is free again.
+    /// Frees the permit of a claimed request that has not run and never will.
     #[serde(rename = "R")]
     Release(Claim),
-    /// How a claimed request ended.
+    /// Reports the answer to a claimed request.
     #[serde(rename = "O")]
     Settle {
         /// The claim.
@@ -161,7 +162,7 @@
         /// The answer given.
         answer: StoredAnswer,
     },
-    /// The entry stops; nothing more will come from this life.
+    /// The entry stops. This incarnation sends nothing more.
     #[serde(rename = "B")]
     Goodbye,
 }
@@ -175,10 +176,10 @@
     /// Expiry on the registrar's clock, in milliseconds.
     #[serde(rename = "x")]
     pub expires_ms: u64,
-    /// The job that wants to run under it.
+    /// The job that claims the permit.
     #[serde(rename = "j")]
     pub job: JobId,
-    /// What the job is, so that a permit covers one request only.
+    /// Digest of the job's content. It binds the permit to one request.
     #[serde(rename = "d")]
     pub digest: RequestDigest,
 }
@@ -186,58 +187,58 @@
 /// The fields of the configuration that agents use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgentConfig {
-    /// Where the fields come from.
+    /// Configuration version of the fields.
     pub stamp: ConfigStamp,
     /// Length of a task's lease on the target, in milliseconds.
     pub lease_ms: u32,
 }
 
-/// Why an agent did not start a dispatch. Each is proof that it never started.
+/// Why an agent did not start a dispatch. Each reason proves that the task never started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum DispatchRefusal {
     /// No slot is free.
     Full,
-    /// The accelerators or memory needed are not free.
+    /// The required accelerators or memory are not free.
     Resources,
     /// The target is leaving.
     Leaving,
     /// The target refuses connections.
     TargetDown,
-    /// The entry revoked it first.
+    /// The entry revoked the dispatch before it started.
     Revoked,
-    /// The agent has never seen it and will not start it.
+    /// The agent has never received the dispatch and will not start it.
     NeverSeen,
 }
 
-/// What an agent knows of one dispatch.
+/// State of one dispatch as the agent knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DispatchFate {
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It never started and never will.
+    /// The task never started and never will.
     Refused(DispatchRefusal),
-    /// It ended.
+    /// The task ended.
     Finished(TaskOutcome),
-    /// The agent has dropped what it knew: it may have run.
+    /// The agent no longer has a record of the dispatch; the task may have run.
     Forgotten,
 }
 
-/// A dispatch and its fate.
+/// A dispatch and its state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettledDispatch {
     /// Number of the dispatch.
     pub seq: DispatchSeq,
-    /// Its fate.
+    /// State of the dispatch.
     pub fate: DispatchFate,
 }
 
-/// What an agent tells an entry.
+/// A message from an agent to an entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum AgentMessage {
-    /// First on every session.
+    /// Introduces the agent; first on every session.
     #[serde(rename = "A")]
     Hello(AgentHello),
-    /// Fates of the dispatches that the welcome named.
+    /// States of the dispatches listed in the welcome.
     #[serde(rename = "Y")]
     Reconciled(Vec<SettledDispatch>),
     /// A dispatch was not started.
@@ -246,7 +247,7 @@
         /// Number of the dispatch.
         #[serde(rename = "s")]
         seq: DispatchSeq,
-        /// Why.
+        /// Why it was not started.
         #[serde(rename = "w")]
         reason: DispatchRefusal,
         /// Slots free at the agent.
@@ -259,7 +260,7 @@
         /// Number of the dispatch.
         #[serde(rename = "s")]
         seq: DispatchSeq,
-        /// How.
+        /// Outcome of the task.
         #[serde(rename = "o")]
         outcome: TaskOutcome,
         /// Run time on the target, in milliseconds.
@@ -269,13 +270,13 @@
         #[serde(rename = "e")]
         free: u32,
     },
-    /// Slots that the entry may dispatch to.
+    /// Lends this many slots to the entry for dispatches.
     #[serde(rename = "L")]
     Lend(u32),
-    /// Lent slots that are taken back, for another entry needs them.
+    /// Takes back this many lent slots, because another entry needs them.
     #[serde(rename = "R")]
     Recall(u32),
-    /// Sign of life on a quiet session.
+    /// Keeps an idle session alive.
     #[serde(rename = "H")]
     Heartbeat {
         /// The agent's clock in milliseconds.
@@ -288,7 +289,7 @@
         #[serde(rename = "c")]
         config: ConfigStamp,
     },
-    /// Answer to a claim.
+    /// Answers a claim.
     #[serde(rename = "P")]
     Claimed {
         /// The claim.
@@ -296,29 +297,29 @@
         /// The answer.
         answer: ClaimAnswer,
     },
-    /// The target is leaving: no new work.
+    /// The target is leaving and takes no new work.
     #[serde(rename = "V")]
     Leaving,
-    /// The agent stops; nothing runs any more.
+    /// The agent stops; no task is running.
     #[serde(rename = "B")]
     Goodbye {
-        /// Whether every task that ever started has been settled: what the entry still waits for
-        /// was then never started.
+        /// Whether every task that started has been settled. If so, dispatches still open at the
+        /// entry were never started.
         #[serde(rename = "c")]
         clean: bool,
     },
 }
 
-/// First word of an entry to another.
+/// First message of an entry to a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerHello {
     /// [`PROTOCOL_VERSION`] of the sender.
     pub protocol: u16,
     /// Name from the settings.
     pub name: NodeName,
-    /// This life of the entry.
+    /// Incarnation of the entry.
     pub incarnation: Incarnation,
-    /// Address for agents.
+    /// Address where agents reach the entry.
     pub agent_address: String,
     /// Configuration that the entry holds.
     pub config: ConfigStamp,
@@ -330,21 +331,21 @@
     /// The team.
     #[serde(rename = "t")]
     pub team: TeamName,
-    /// Tasks in flight and refused for quota of late.
+    /// Tasks in flight plus tasks recently refused for quota.
     #[serde(rename = "n")]
     pub tasks: u32,
 }
 
-/// An entry's load, as its peers need it.
+/// An entry's load, reported to its peers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 pub struct PeerReport {
-    /// Estimated work that waits, in milliseconds of one slot.
+    /// Estimated waiting work, as milliseconds of run time on one slot.
     #[serde(rename = "w")]
     pub waiting_work_ms: u64,
-    /// Use by team, teams without any left out.
+    /// Use by team; teams without any are omitted.
     #[serde(rename = "t")]
     pub teams: Vec<TeamDemand>,
-    /// Agents whose targets fail what they start.
+    /// Agents whose targets are ejected because their tasks fail.
     #[serde(rename = "a")]
     pub set_aside: Vec<Incarnation>,
     /// Configuration that the entry holds.
@@ -352,30 +353,30 @@
     pub config: ConfigStamp,
 }
 
-/// What entries tell each other.
+/// A message between entries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// First on every session, from both sides.
+    /// Introduces the sender; first on every session, from both sides.
     #[serde(rename = "A")]
     Hello(PeerHello),
-    /// Load, sent at intervals.
+    /// The sender's load, sent at intervals.
     #[serde(rename = "R")]
     Report(PeerReport),
-    /// Send me the configuration that you hold.
+    /// Asks for the receiver's configuration.
     #[serde(rename = "Q")]
     FetchConfig,
     /// The configuration that the sender holds.
     #[serde(rename = "C")]
     Config(ConfigState),
-    /// Cancel a job of the receiver's for this team.
+    /// Cancels a job that the receiver holds for this team.
     #[serde(rename = "K")]
     CancelJob {
         /// The job.
         job: JobId,
-        /// Who asks.
+        /// Team that cancels the job.
         team: TeamName,
     },
-    /// The entry stops.
+    /// The entry is stopping.
     #[serde(rename = "B")]
     Goodbye,
 }
