--- a/lib/src/agent_node.rs
+++ b/lib/src/agent_node.rs
@@ -103,8 +103,8 @@
                 renewal,
                 target_name,
             } => self.renew(renewal, target_name),
-            AgentAction::CheckIncarnation { look, target_name } => {
-                self.check_incarnation(look, target_name)
+            AgentAction::CheckIncarnation { query, target_name } => {
+                self.check_incarnation(query, target_name)
             }
             AgentAction::AskEvacuations => self.read_evacuations(),
             AgentAction::AskEntries => self.list_entries(),
--- a/lib/src/batch_entry.rs
+++ b/lib/src/batch_entry.rs
@@ -87,7 +87,7 @@
             now: Now::ZERO,
             rng: ChaCha8Rng::seed_from_u64(options.seed ^ options.incarnation),
             actions: Vec::new(),
-            directory: EntryDirectory::new(options.clone(), options.timings.lost_proof),
+            directory: EntryDirectory::new(options.clone(), options.timings.lost_agent_bound),
             table: BatchTable::default(),
             targets: TargetRegistry::default(),
             outboxes: BTreeMap::new(),
@@ -227,7 +227,7 @@
         let seeds = self.options.seeds.clone();
         self.learn_entries(seeds);
         self.directory.close_silent(self.now);
-        let before = self.now.saturating_sub(self.options.timings.silent_link);
+        let before = self.now.saturating_sub(self.options.timings.link_timeout);
         for link in self.targets.silent(before) {
             self.actions.push(EntryAction::Close(link));
             self.handle_link_down(link);
--- a/lib/src/batch_entry/agents.rs
+++ b/lib/src/batch_entry/agents.rs
@@ -46,7 +46,7 @@
         );
         if runs > 0 {
             self.lost_agents
-                .insert(agent, view.sent + self.options.timings.lost_proof);
+                .insert(agent, view.sent + self.options.timings.lost_agent_bound);
         }
     }
 
@@ -68,11 +68,11 @@
         for news in packet.news {
             self.handle_news(link, news);
         }
-        let answer_after = self.options.timings.answer_after();
+        let max_answer_delay = self.options.timings.max_answer_delay();
         let is_reply_due = self
             .targets
             .get(link)
-            .is_some_and(|v| v.sent + answer_after <= self.now);
+            .is_some_and(|v| v.sent + max_answer_delay <= self.now);
         if is_reply_due {
             self.send_orders(link);
         }
--- a/lib/src/batch_entry/callers.rs
+++ b/lib/src/batch_entry/callers.rs
@@ -104,7 +104,7 @@
         if let Some(table) = self.directory.config().table() {
             self.retry_detector.forget_unconfigured(&table.queues);
         }
-        let caller_return = self.options.timings.caller_return;
+        let caller_return = self.options.timings.caller_retry_interval;
         let is_retry = self
             .retry_detector
             .is_retry(&queue.name, patience, caller_return);
@@ -247,7 +247,7 @@
             wait = wait.max(MIN_WAIT_WITHOUT_TARGETS);
         }
         let age = if is_retry {
-            self.options.timings.caller_return
+            self.options.timings.caller_retry_interval
         } else {
             Duration::ZERO
         };
--- a/lib/src/entry_drain.rs
+++ b/lib/src/entry_drain.rs
@@ -25,7 +25,7 @@
     pub fn new(timings: &Timings) -> Self {
         Self {
             since: None,
-            serving_time: timings.serve_on,
+            serving_time: timings.drain_serve_time,
             limit: timings.entry_stop,
         }
     }
--- a/lib/src/entry_leases.rs
+++ b/lib/src/entry_leases.rs
@@ -111,7 +111,7 @@
 
     /// Records a packet from an entry. Does nothing if the link is closed: only packets on an open
     /// link extend a lease.
-    pub fn heard(&mut self, now: Now, link: SessionId, lease_until: Now, waiting: u32) {
+    pub fn record_packet(&mut self, now: Now, link: SessionId, lease_until: Now, waiting: u32) {
         let Some(found) = self.links.get_mut(&link) else {
             return;
         };
@@ -124,7 +124,7 @@
     }
 
     /// Whether an entry's lease on its runs is still valid.
-    pub fn is_held(&self, now: Now, entry: Incarnation) -> bool {
+    pub fn has_valid_lease(&self, now: Now, entry: Incarnation) -> bool {
         self.until.get(&entry).is_some_and(|until| *until > now)
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// Records starts that an entry has requested.
-    pub fn ordered(&mut self, link: SessionId, starts: u64) {
+    pub fn record_starts(&mut self, link: SessionId, starts: u64) {
         if let Some(found) = self.links.get_mut(&link) {
             found.starts_seen += starts;
             self.shares.used(link);
@@ -187,7 +187,7 @@
     }
 
     /// Divides the target's free capacity among the entries.
-    pub fn share_room(&mut self, now: Now, free: FreeCapacity) {
+    pub fn share_capacity(&mut self, now: Now, free: FreeCapacity) {
         let demand = |(link, found): (&SessionId, &EntryLink)| Demand {
             link: *link,
             waiting: found.waiting,
@@ -226,8 +226,8 @@
 
     /// Links that have been silent for too long.
     pub fn silent(&self, now: Now) -> Vec<SessionId> {
-        let silent_link = self.timings.silent_link;
-        let silent = |link: &EntryLink| link.heard + silent_link <= now;
+        let link_timeout = self.timings.link_timeout;
+        let silent = |link: &EntryLink| link.heard + link_timeout <= now;
         let links = self.links.iter();
         links
             .filter(|(_, link)| silent(link))
@@ -240,12 +240,12 @@
         let load_interval = self.load_interval();
         let Timings {
             heartbeat,
-            silent_link,
+            link_timeout,
             ..
         } = self.timings;
         let due = |link: &EntryLink| {
             link.due_at(load_interval, heartbeat)
-                .min(link.heard + silent_link)
+                .min(link.heard + link_timeout)
         };
         let links = self.links.values().map(due);
         links.chain(self.shares.next_wake()).min()
--- a/lib/src/run_agent.rs
+++ b/lib/src/run_agent.rs
@@ -215,7 +215,7 @@
     fn resumed(&mut self, suspended: Duration) {
         self.lease.suspended(suspended);
         if self.knows_runs {
-            let query = self.lease.at_once(self.now, false);
+            let query = self.lease.renew_now(self.now, false);
             self.push_renewal(query);
         }
         let suspended_ms = suspended.as_millis();
@@ -324,7 +324,7 @@
         }
         let lease_until = Duration::from_millis(packet.lease_until);
         self.entry_links
-            .heard(self.now, link, lease_until, packet.waiting);
+            .record_packet(self.now, link, lease_until, packet.waiting);
         let store_heard = Duration::from_millis(packet.store_heard);
         for order in packet.orders {
             match order {
@@ -519,7 +519,7 @@
             if stopping.resend_at > now {
                 continue;
             }
-            stopping.resend_at = now + self.options.timings.stop_again;
+            stopping.resend_at = now + self.options.timings.stop_retry_interval;
             let target_name = target_name.clone();
             self.actions.push(AgentAction::Stop {
                 key,
@@ -582,7 +582,7 @@
             free: self.free(),
             place: self.runs.typical_size(),
         };
-        self.entry_links.share_room(self.now, free_capacity);
+        self.entry_links.share_capacity(self.now, free_capacity);
         for due in self.entry_links.take_due(self.now) {
             let packet = AgentPacket {
                 clock,
--- a/lib/src/run_agent/incarnations.rs
+++ b/lib/src/run_agent/incarnations.rs
@@ -7,7 +7,7 @@
 use crate::run_event::{AgentAction, IncarnationAnswer, TargetReport};
 use crate::run_message::{AgentNews, TargetInfo};
 use crate::target_health::TargetHealth;
-use crate::target_incarnation::{BornMillis, TargetIncarnation, TargetName};
+use crate::target_incarnation::{StartMillis, TargetIncarnation, TargetName};
 use crate::target_incarnations::ReportOutcome;
 
 /// Delay before an incarnation that refused the fencing token as too low is checked with a higher
@@ -64,11 +64,9 @@
             .incarnations
             .take_due_check(self.now, self.lease.next_number())
         {
-            let query = self.lease.look();
-            self.actions.push(AgentAction::CheckIncarnation {
-                look: query,
-                target_name,
-            });
+            let query = self.lease.query();
+            self.actions
+                .push(AgentAction::CheckIncarnation { query, target_name });
         }
     }
 
@@ -77,7 +75,7 @@
             return;
         };
         match answer {
-            IncarnationAnswer::Silent => self.incarnations.recheck_later(self.now, incarnation),
+            IncarnationAnswer::NoAnswer => self.incarnations.recheck_later(self.now, incarnation),
             IncarnationAnswer::Fenced => {
                 let refused = self.lease.token();
                 self.lease.raise_token_past(refused);
@@ -119,7 +117,7 @@
     /// Checks whether the lists in the answer to renewal `number` show a restart under the same
     /// name. If so, marks the current incarnation as over and announces that. The numbers of reports
     /// and ends then start again, so the old ones are forgotten.
-    pub(super) fn check_for_restart(&mut self, number: u64, born: Option<BornMillis>) {
+    pub(super) fn check_for_restart(&mut self, number: u64, born: Option<StartMillis>) {
         let is_current = self
             .incarnations
             .current_incarnation()
@@ -129,7 +127,7 @@
             return;
         }
         self.mark_current_over("lists state another start time");
-        self.lease.forget_numbers(number);
+        self.lease.forget_ends(number);
         self.lease.note_incarnation(self.now, born);
         self.announce_target();
     }
@@ -173,7 +171,7 @@
     /// Handles a goodbye: closes the target to new work but ends no run. The goodbye may be a
     /// delayed one of an earlier incarnation, and runs continue until the process exits. They end
     /// by the lists, by the answer of another incarnation or when the lease lapses.
-    pub(super) fn target_left(&mut self, name: &TargetName, born: Option<BornMillis>) {
+    pub(super) fn target_left(&mut self, name: &TargetName, born: Option<StartMillis>) {
         let Some(incarnation) = self.incarnations.current_incarnation() else {
             return;
         };
--- a/lib/src/run_agent/lists.rs
+++ b/lib/src/run_agent/lists.rs
@@ -56,7 +56,7 @@
         }
         let wait = self.time_to_slow_check();
         let renew = self.may_renew();
-        if let Some(renewal) = self.lease.next(self.now, wait, renew) {
+        if let Some(renewal) = self.lease.next_renewal(self.now, wait, renew) {
             self.push_renewal(renewal);
         }
     }
@@ -113,7 +113,7 @@
                 self.end_incarnation("another incarnation answers");
                 self.announce_target();
             }
-            RenewalAnswer::Silent => self.lease.unanswered(self.now, number),
+            RenewalAnswer::NoAnswer => self.lease.unanswered(self.now, number),
             RenewalAnswer::Refused => {
                 self.lease.note_refused();
                 self.lease.unanswered(self.now, number);
@@ -130,7 +130,7 @@
     ) {
         self.lease.learn_clock(self.now, clock);
         for &(end_number, key, end) in ended {
-            if self.lease.is_new_end(end_number) {
+            if self.lease.mark_end_seen(end_number) {
                 self.end_run(key, end);
             } else if self.runs.get(key).is_some() {
                 let detail = format!("run={key} end={end:?} number={end_number}");
--- a/lib/src/run_agent/starts.rs
+++ b/lib/src/run_agent/starts.rs
@@ -28,7 +28,8 @@
     }
 
     pub(super) fn start_ordered(&mut self, link: SessionId, order: StartOrder) {
-        self.entry_links.ordered(link, order.runs.len() as u64);
+        self.entry_links
+            .record_starts(link, order.runs.len() as u64);
         let Some(entry) = self.entry_links.get_mut(link).and_then(|l| l.entry) else {
             return;
         };
@@ -90,7 +91,7 @@
             return Err(NotStarted::Leaving);
         }
         let start_by = Duration::from_millis(order.start_by);
-        if start_by <= self.now || !self.entry_links.is_held(self.now, entry) {
+        if start_by <= self.now || !self.entry_links.has_valid_lease(self.now, entry) {
             return Err(NotStarted::Late);
         }
         let target = self.incarnations.current().cloned();
@@ -166,7 +167,7 @@
         if !self.may_renew() {
             return Err(NotStarted::Doubtful);
         }
-        let until = self.lease.new_until(self.now);
+        let until = self.lease.renew_until(self.now);
         let until = until.ok_or(NotStarted::Unreachable)?;
         let token = self.lease.token();
         let sent = self.now;
@@ -199,7 +200,7 @@
             Phase::Starting { token: t, sent } | Phase::Unconfirmed { token: t, sent }
                 if t == token =>
             {
-                if !matches!(answer, StartAnswer::Silent | StartAnswer::Refused) {
+                if !matches!(answer, StartAnswer::NoAnswer | StartAnswer::Refused) {
                     self.start_timeout.learn(self.now.saturating_sub(sent));
                     self.lease.note_answer(self.now);
                 }
@@ -227,7 +228,7 @@
                 self.end_incarnation("another incarnation answers");
                 self.announce_target();
             }
-            StartAnswer::Silent => self.starts_unanswered(&[(key, token)]),
+            StartAnswer::NoAnswer => self.starts_unanswered(&[(key, token)]),
         }
     }
 
@@ -298,7 +299,7 @@
         }
         if has_new {
             let renew = self.may_renew();
-            let renewal = self.lease.at_once(self.now, renew);
+            let renewal = self.lease.renew_now(self.now, renew);
             self.push_renewal(renewal);
         }
     }
--- a/lib/src/run_event.rs
+++ b/lib/src/run_event.rs
@@ -14,7 +14,7 @@
 use crate::run::{RunEnd, RunKey};
 use crate::run_message::{AgentPacket, EntryPacket, TargetInfo};
 use crate::run_table::FencingToken;
-use crate::target_incarnation::{BornMillis, TargetName};
+use crate::target_incarnation::{StartMillis, TargetName};
 use crate::target_lease::{EndNumber, ListedRun, Renewal, TargetMillis};
 use crate::timings::Timings;
 
@@ -70,7 +70,7 @@
     /// The connection was refused, so nothing was started.
     Refused,
     /// No answer: the run may have started or may start later.
-    Silent,
+    NoAnswer,
 }
 
 /// The target's answer to a renewal.
@@ -79,7 +79,7 @@
     /// The target's lists.
     Lists {
         /// Start time of the answering incarnation, if the target states it.
-        born: Option<BornMillis>,
+        born: Option<StartMillis>,
         /// The target's clock.
         clock: TargetMillis,
         /// Running runs.
@@ -94,21 +94,21 @@
     /// The connection was refused: no process listens.
     Refused,
     /// No answer.
-    Silent,
+    NoAnswer,
 }
 
 /// Outcome of a call that checks an incarnation of the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IncarnationAnswer {
     /// An incarnation of that name answered, with its start time if it states one.
-    Alive(Option<BornMillis>),
+    Alive(Option<StartMillis>),
     /// An incarnation of another name answered.
     OtherIncarnation,
     /// An incarnation of that name answered without its start time, because it has seen a higher
     /// fencing token.
     Fenced,
     /// No answer.
-    Silent,
+    NoAnswer,
 }
 
 impl From<RenewalAnswer> for IncarnationAnswer {
@@ -117,7 +117,7 @@
             RenewalAnswer::Lists { born, .. } => Self::Alive(born),
             RenewalAnswer::Fenced => Self::Fenced,
             RenewalAnswer::OtherIncarnation => Self::OtherIncarnation,
-            RenewalAnswer::Refused | RenewalAnswer::Silent => Self::Silent,
+            RenewalAnswer::Refused | RenewalAnswer::NoAnswer => Self::NoAnswer,
         }
     }
 }
@@ -136,7 +136,7 @@
     /// The target reports on itself.
     Report(TargetReport),
     /// Goodbye of a target of this name, with the start time of its incarnation if it states one.
-    TargetLeft(TargetName, Option<BornMillis>),
+    TargetLeft(TargetName, Option<StartMillis>),
     /// Answer to [`AgentAction::Start`].
     StartAnswered {
         /// The run.
@@ -219,7 +219,7 @@
     /// Check which incarnation of this name answers, if any.
     CheckIncarnation {
         /// A query of the lists, which renews no lease.
-        look: Renewal,
+        query: Renewal,
         /// Name of the target that is addressed.
         target_name: TargetName,
     },
--- a/lib/src/target_incarnation.rs
+++ b/lib/src/target_incarnation.rs
@@ -13,7 +13,7 @@
 pub type TargetName = Arc<str>;
 /// Start time of a target's incarnation, in milliseconds of the time of day on the target's VM.
 /// Compared only for equality, because clocks may step.
-pub type BornMillis = u64;
+pub type StartMillis = u64;
 
 /// Identifies an incarnation of a target.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -21,14 +21,14 @@
     /// Name of the target.
     pub name: TargetName,
     /// Start time; none for targets that don't state one and take a new name for each incarnation.
-    pub born: Option<BornMillis>,
+    pub born: Option<StartMillis>,
 }
 
 impl TargetIncarnation {
     /// Whether lists requested by this name that state the start time `born` can be from this
     /// incarnation. Lists without a start time always can; lists with one can't be from an
     /// incarnation without.
-    pub fn matches_born(&self, born: Option<BornMillis>) -> bool {
+    pub fn matches_born(&self, born: Option<StartMillis>) -> bool {
         match (self.born, born) {
             (Some(own), Some(stated)) => own == stated,
             (None, Some(_)) => false,
--- a/lib/src/target_lease.rs
+++ b/lib/src/target_lease.rs
@@ -8,7 +8,7 @@
 use crate::ids::Now;
 use crate::run::RunKey;
 use crate::run_table::FencingToken;
-use crate::target_incarnation::BornMillis;
+use crate::target_incarnation::StartMillis;
 use crate::timings::Timings;
 
 /// Sequence number of a run's end within one incarnation of a target.
@@ -52,7 +52,7 @@
     /// How long the target may wait for an end before it answers.
     pub wait: Duration,
     /// How long until the answer counts as lost.
-    pub limit: Duration,
+    pub timeout: Duration,
 }
 
 /// A run that the target listed.
@@ -95,7 +95,7 @@
     /// Last known time on the target's clock, and when it was received.
     clock: Option<(TargetMillis, Now)>,
     /// When the incarnation whose lists were last read began.
-    born: Option<BornMillis>,
+    born: Option<StartMillis>,
     last_seen: EndNumber,
     /// When the lists were last read.
     listed_at: Option<Now>,
@@ -168,12 +168,12 @@
     }
 
     /// Whether lists come from another incarnation than those that were last read.
-    pub fn is_other_incarnation(&self, born: Option<BornMillis>) -> bool {
+    pub fn is_other_incarnation(&self, born: Option<StartMillis>) -> bool {
         matches!((self.born, born), (Some(known), Some(told)) if known != told)
     }
 
     /// Records that the lists of this incarnation are read now.
-    pub fn note_incarnation(&mut self, now: Now, born: Option<BornMillis>) {
+    pub fn note_incarnation(&mut self, now: Now, born: Option<StartMillis>) {
         self.born = born.or(self.born);
         self.listed_at = Some(now);
     }
@@ -198,7 +198,7 @@
 
     /// Records a renewal now and returns the end of its lease on the target's clock, or none if
     /// that clock is unknown.
-    pub fn new_until(&mut self, now: Now) -> Option<TargetMillis> {
+    pub fn renew_until(&mut self, now: Now) -> Option<TargetMillis> {
         let (clock, at) = self.clock?;
         let elapsed = now.saturating_sub(at) + self.lease_length;
         self.note_renewed(now);
@@ -244,7 +244,7 @@
     }
 
     /// Returns a query of the lists, which renews nothing and acknowledges no end.
-    pub fn look(&mut self) -> Renewal {
+    pub fn query(&mut self) -> Renewal {
         let number = self.next_number;
         self.next_number += 1;
         Renewal {
@@ -253,7 +253,7 @@
             until: None,
             last_seen: 0,
             wait: Duration::ZERO,
-            limit: ANSWER_SLACK,
+            timeout: ANSWER_SLACK,
         }
     }
 
@@ -280,7 +280,7 @@
     }
 
     /// Whether an end was not seen before; marks it as seen.
-    pub fn is_new_end(&mut self, number: EndNumber) -> bool {
+    pub fn mark_end_seen(&mut self, number: EndNumber) -> bool {
         let is_new = number > self.last_seen;
         self.last_seen = self.last_seen.max(number);
         is_new
@@ -288,7 +288,7 @@
 
     /// Forgets the clock and the end numbers of an earlier incarnation of the target, after the
     /// current one answered renewal `number`. Answers to earlier renewals may be the earlier one's.
-    pub fn forget_numbers(&mut self, number: u64) {
+    pub fn forget_ends(&mut self, number: u64) {
         self.clock = None;
         self.born = None;
         self.last_seen = 0;
@@ -310,7 +310,7 @@
 
     /// Returns the next renewal, unless one is in flight or a pause lasts. `max_wait` limits the
     /// wait for an end; without `renew` it is only a query.
-    pub fn next(&mut self, now: Now, max_wait: Duration, renew: bool) -> Option<Renewal> {
+    pub fn next_renewal(&mut self, now: Now, max_wait: Duration, renew: bool) -> Option<Renewal> {
         if self.in_flight.is_some() || self.retry_at.is_some_and(|at| at > now) {
             return None;
         }
@@ -327,7 +327,7 @@
     }
 
     /// Returns a renewal that does not wait, even if another one is in flight.
-    pub fn at_once(&mut self, now: Now, renew: bool) -> Renewal {
+    pub fn renew_now(&mut self, now: Now, renew: bool) -> Renewal {
         self.send(now, renew, Duration::ZERO)
     }
 
@@ -335,7 +335,7 @@
         self.retry_at = None;
         // A target that may be lost is only queried: its leases must lapse to end its runs.
         let until = if renew && !self.has_unanswered_call() {
-            self.new_until(now)
+            self.renew_until(now)
         } else {
             None
         };
@@ -360,7 +360,7 @@
             until,
             last_seen,
             wait,
-            limit: wait + ANSWER_SLACK,
+            timeout: wait + ANSWER_SLACK,
         }
     }
 
--- a/lib/src/timings.rs
+++ b/lib/src/timings.rs
@@ -21,7 +21,7 @@
 const STOPS_PER_BOUND: u32 = 10;
 /// Allowance for scheduling delays on a busy VM, added to the time that a lease takes to lapse.
 const LAPSE_SLACK: Duration = Duration::from_millis(70);
-/// Allowance for rounding and scheduling delays in [`Timings::lost_proof`].
+/// Allowance for rounding and scheduling delays in [`Timings::lost_agent_bound`].
 const PROOF_SLACK: Duration = Duration::from_millis(160);
 /// Longest tolerated suspension of a VM with its target and agent. Until it ends it looks like a
 /// loss of power, but the target's leases do not lapse.
@@ -60,30 +60,30 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum TimingsError {
     /// Leases would lapse between two renewals.
-    #[snafu(display("the longest lease is {is:?}, expected 200 ms to 1 h"))]
+    #[snafu(display("the longest lease is {found:?}, expected 200 ms to 1 h"))]
     LongestLease {
         /// The configured value.
-        is: Duration,
+        found: Duration,
     },
     /// Stops would take longer than the time after which they count as failed.
-    #[snafu(display("the stop time is {is:?}, expected at most 2 s"))]
+    #[snafu(display("the stop time is {found:?}, expected at most 2 s"))]
     StopTime {
         /// The configured value.
-        is: Duration,
+        found: Duration,
     },
     /// There would be no time to finish open requests.
-    #[snafu(display("the shutdown grace is {is:?}, expected 1 s to 1 h"))]
+    #[snafu(display("the shutdown grace is {found:?}, expected 1 s to 1 h"))]
     ShutdownGrace {
         /// The configured value.
-        is: Duration,
+        found: Duration,
     },
     /// Callers would retry before the runs of an entry that died are stopped.
     #[snafu(display(
-        "callers return after {is:?}, expected 500 ms to 1 h and at least ten times the stop time"
+        "callers return after {found:?}, expected 500 ms to 1 h and at least ten times the stop time"
     ))]
     CallerReturn {
         /// The configured value.
-        is: Duration,
+        found: Duration,
     },
 }
 
@@ -95,7 +95,7 @@
     /// Interval between heartbeats of an agent on an idle link (agent).
     pub heartbeat: Duration,
     /// Silence after which a link is closed and dialled again (both).
-    pub silent_link: Duration,
+    pub link_timeout: Duration,
     /// How long a start may take to reach the agent; later ones are refused (agent).
     pub start_window: Duration,
     /// Time that an entry has to reconnect before its runs are stopped (agent).
@@ -103,7 +103,7 @@
     /// How long an adopted run waits for an entry to claim it (agent).
     pub claim_grace: Duration,
     /// Interval at which a stop is resent until the run's end is listed (agent).
-    pub stop_again: Duration,
+    pub stop_retry_interval: Duration,
     /// Time within which an orphaned run must end, or the whole lease of the target is left to
     /// lapse (agent).
     pub stop_bound: Duration,
@@ -117,15 +117,15 @@
     pub renewal_wait: Duration,
     /// Time from the last packet to a lost agent until its runs must have ended, even if its VM was
     /// suspended (entry).
-    pub lost_proof: Duration,
+    pub lost_agent_bound: Duration,
     /// How long a stopping entry serves all requests (entry).
-    pub serve_on: Duration,
+    pub drain_serve_time: Duration,
     /// Longest time that a stopping entry takes to exit (entry).
     pub entry_stop: Duration,
     /// Longest time that a stopping agent takes to exit (agent).
     pub agent_stop: Duration,
     /// How long after a broken connection a caller retries.
-    pub caller_return: Duration,
+    pub caller_retry_interval: Duration,
 }
 
 impl Timings {
@@ -151,42 +151,43 @@
         Ok(Self {
             entry_lease,
             heartbeat,
-            silent_link: heartbeat * 6,
+            link_timeout: heartbeat * 6,
             start_window: entry_lease.mul_f64(0.625),
             reconnect_grace,
             claim_grace: MAX_CLAIM_GRACE.min(target_lease / 5),
-            stop_again: (stop_time * 2).max(Duration::from_millis(20)),
+            stop_retry_interval: (stop_time * 2).max(Duration::from_millis(20)),
             stop_bound,
             target_lease,
             lapse,
             renewal_wait: target_lease.mul_f64(0.33),
-            lost_proof: entry_lease + stop_bound + lapse + PROOF_SLACK + MAX_SUSPENSION,
-            serve_on: MAX_SERVE_ON.min(shutdown_grace.mul_f64(0.54)),
+            lost_agent_bound: entry_lease + stop_bound + lapse + PROOF_SLACK + MAX_SUSPENSION,
+            drain_serve_time: MAX_SERVE_ON.min(shutdown_grace.mul_f64(0.54)),
             entry_stop: shutdown_grace.mul_f64(0.885),
             agent_stop: shutdown_grace.mul_f64(0.835),
-            caller_return,
+            caller_retry_interval: caller_return,
         })
     }
 
     /// Longest silence of an entry before it answers an agent's packet.
-    pub fn answer_after(&self) -> Duration {
+    pub fn max_answer_delay(&self) -> Duration {
         self.heartbeat.mul_f64(0.6)
     }
 }
 
 fn check(bounds: PlatformBounds) -> Result<(), TimingsError> {
     let hour = Duration::from_secs(3_600);
-    let is = bounds.longest_lease;
-    let fits = is >= Duration::from_millis(200) && is <= hour;
-    ensure!(fits, LongestLeaseSnafu { is });
-    let is = bounds.stop_time;
-    ensure!(is <= Duration::from_secs(2), StopTimeSnafu { is });
-    let is = bounds.shutdown_grace;
-    let fits = is >= Duration::from_secs(1) && is <= hour;
-    ensure!(fits, ShutdownGraceSnafu { is });
-    let is = bounds.caller_return;
-    let fits = is >= Duration::from_millis(500) && is >= bounds.stop_time * 10 && is <= hour;
-    ensure!(fits, CallerReturnSnafu { is });
+    let found = bounds.longest_lease;
+    let fits = found >= Duration::from_millis(200) && found <= hour;
+    ensure!(fits, LongestLeaseSnafu { found });
+    let found = bounds.stop_time;
+    ensure!(found <= Duration::from_secs(2), StopTimeSnafu { found });
+    let found = bounds.shutdown_grace;
+    let fits = found >= Duration::from_secs(1) && found <= hour;
+    ensure!(fits, ShutdownGraceSnafu { found });
+    let found = bounds.caller_return;
+    let fits =
+        found >= Duration::from_millis(500) && found >= bounds.stop_time * 10 && found <= hour;
+    ensure!(fits, CallerReturnSnafu { found });
     Ok(())
 }
 
--- a/lib/tests/test_entry_directory.rs
+++ b/lib/tests/test_entry_directory.rs
@@ -229,7 +229,7 @@
         timings: Timings::default(),
         link_rate: None,
     };
-    EntryDirectory::new(Arc::new(options), Timings::default().lost_proof)
+    EntryDirectory::new(Arc::new(options), Timings::default().lost_agent_bound)
 }
 
 const SIZES: [usize; 3] = [48, 96, 192];
--- a/lib/tests/test_run_agent/crashes.rs
+++ b/lib/tests/test_run_agent/crashes.rs
@@ -71,7 +71,7 @@
 #[test]
 fn test_handle_run_of_a_silent_target_does_not_count_as_crashed() {
     // The target may have lost power or be cut off.
-    let reported = ends_if_renewals_get(agent_with_runs(1), &RenewalAnswer::Silent);
+    let reported = ends_if_renewals_get(agent_with_runs(1), &RenewalAnswer::NoAnswer);
     assert_eq!(reported, [RunEnd::Lost]);
 }
 
--- a/lib/tests/test_run_agent/incarnations.rs
+++ b/lib/tests/test_run_agent/incarnations.rs
@@ -89,7 +89,10 @@
         let mut next = Vec::new();
         for (number, _) in incarnation_checks(&actions) {
             asked += 1;
-            next.extend(agent.handle(now, incarnation_checked(number, IncarnationAnswer::Silent)));
+            next.extend(agent.handle(
+                now,
+                incarnation_checked(number, IncarnationAnswer::NoAnswer),
+            ));
         }
         next.extend(agent.handle(now, AgentEvent::Wake));
         actions = next;
--- a/lib/tests/test_run_agent/leases.rs
+++ b/lib/tests/test_run_agent/leases.rs
@@ -14,13 +14,13 @@
         for action in &actions {
             match action {
                 AgentAction::Renew { renewal, .. } => {
-                    let (number, answer) = (renewal.number, RenewalAnswer::Silent);
+                    let (number, answer) = (renewal.number, RenewalAnswer::NoAnswer);
                     events.push(AgentEvent::RenewalAnswered { number, answer });
                 }
                 AgentAction::Start(call) => events.push(AgentEvent::StartAnswered {
                     key: call.key,
                     token: call.token,
-                    answer: StartAnswer::Silent,
+                    answer: StartAnswer::NoAnswer,
                 }),
                 _ => {}
             }
@@ -103,7 +103,7 @@
         answer: StartAnswer::Late,
     };
     agent.handle(ms(11), refused);
-    let answer = RenewalAnswer::Silent;
+    let answer = RenewalAnswer::NoAnswer;
     let event = AgentEvent::RenewalAnswered {
         number: lost,
         answer,
--- a/lib/tests/test_run_agent/main.rs
+++ b/lib/tests/test_run_agent/main.rs
@@ -92,7 +92,9 @@
 /// Numbers and target names of the incarnation checks among the actions.
 fn incarnation_checks(actions: &[AgentAction]) -> Vec<(u64, &str)> {
     let checks = actions.iter().filter_map(|a| match a {
-        AgentAction::CheckIncarnation { look, target_name } => Some((look.number, &**target_name)),
+        AgentAction::CheckIncarnation { query, target_name } => {
+            Some((query.number, &**target_name))
+        }
         _ => None,
     });
     checks.collect()
@@ -213,7 +215,7 @@
     AgentEvent::StartAnswered {
         key: key(0),
         token,
-        answer: StartAnswer::Silent,
+        answer: StartAnswer::NoAnswer,
     }
 }
 
--- a/lib/tests/test_run_agent/room.rs
+++ b/lib/tests/test_run_agent/room.rs
@@ -70,7 +70,7 @@
     let answer = AgentEvent::StartAnswered {
         key: key(4),
         token: 100,
-        answer: StartAnswer::Silent,
+        answer: StartAnswer::NoAnswer,
     };
     let actions = agent.handle(ms(120), answer);
     let number = fence(&actions).number;
--- a/lib/tests/test_timings.rs
+++ b/lib/tests/test_timings.rs
@@ -40,10 +40,10 @@
         // A lost renewal can be repeated twice within a lease.
         prop_assert!(t.renewal_wait * 3 < t.target_lease);
         // An entry counts a lost agent's runs as ended only after the agent has released them.
-        prop_assert!(t.entry_lease + t.stop_bound + t.lapse < t.lost_proof);
+        prop_assert!(t.entry_lease + t.stop_bound + t.lapse < t.lost_agent_bound);
         // An idle agent sends three heartbeats within an entry's lease and is answered in time.
         prop_assert!(t.heartbeat * 3 <= t.entry_lease);
-        prop_assert!(t.heartbeat + t.answer_after() < t.entry_lease);
+        prop_assert!(t.heartbeat + t.max_answer_delay() < t.entry_lease);
         prop_assert!(t.start_window < t.entry_lease);
         // The runs of a dead or silent entry are stopped before its callers return.
         let caller_return = bounds.caller_return;
@@ -55,7 +55,7 @@
         prop_assert!(t.claim_grace * 2 < t.target_lease);
         // Planned stops end before the platform kills the process.
         let grace = bounds.shutdown_grace;
-        prop_assert!(t.serve_on < t.entry_stop);
+        prop_assert!(t.drain_serve_time < t.entry_stop);
         prop_assert!(t.entry_stop + ms(100) < grace);
         prop_assert!(t.agent_stop < t.entry_stop);
     }
@@ -91,22 +91,22 @@
     };
     assert_eq!(
         Timings::new(lease),
-        Err(TimingsError::LongestLease { is: ms(100) })
+        Err(TimingsError::LongestLease { found: ms(100) })
     );
     assert_eq!(
         Timings::new(stop),
-        Err(TimingsError::StopTime { is: ms(2_500) })
+        Err(TimingsError::StopTime { found: ms(2_500) })
     );
     assert_eq!(
         Timings::new(grace),
-        Err(TimingsError::ShutdownGrace { is: ms(300) })
+        Err(TimingsError::ShutdownGrace { found: ms(300) })
     );
     assert_eq!(
         Timings::new(caller_return),
-        Err(TimingsError::CallerReturn { is: ms(200) })
+        Err(TimingsError::CallerReturn { found: ms(200) })
     );
     assert_eq!(
         Timings::new(slow_stop),
-        Err(TimingsError::CallerReturn { is: ms(1_300) })
+        Err(TimingsError::CallerReturn { found: ms(1_300) })
     );
 }
--- a/lib/testutils/src/run_fleet.rs
+++ b/lib/testutils/src/run_fleet.rs
@@ -581,8 +581,8 @@
                 renewal,
                 target_name,
             } => self.order_renewal(i, renewal, target_name),
-            AgentAction::CheckIncarnation { look, target_name } => {
-                self.check_incarnation(i, look, &target_name)
+            AgentAction::CheckIncarnation { query, target_name } => {
+                self.check_incarnation(i, query, &target_name)
             }
             AgentAction::Log(event) => self.log_event(Node::Agent(i), &event),
             AgentAction::Exit => self.stop(Node::Agent(i), Duration::from_millis(200)),
--- a/lib/testutils/src/run_fleet/callers.rs
+++ b/lib/testutils/src/run_fleet/callers.rs
@@ -202,7 +202,7 @@
         {
             caller.open_request = None;
             if retries {
-                self.schedule_after(self.timings.caller_return, Event::Submit(id));
+                self.schedule_after(self.timings.caller_retry_interval, Event::Submit(id));
             }
         }
     }
@@ -227,7 +227,7 @@
                 self.schedule_after(delay, Event::CallerGone(entry, incarnation, request));
             }
             if attempts < 3 {
-                self.schedule_after(self.timings.caller_return, Event::Submit(id));
+                self.schedule_after(self.timings.caller_retry_interval, Event::Submit(id));
             }
         }
     }
--- a/lib/testutils/src/run_fleet/targets.rs
+++ b/lib/testutils/src/run_fleet/targets.rs
@@ -132,7 +132,7 @@
         }
         if self.targets[i].target.trouble.is_mute || self.loses_order(i) {
             self.delay_order(i, LateOrder::Start(request));
-            return self.answer(i, agent_incarnation, limit, answered(StartAnswer::Silent));
+            return self.answer(i, agent_incarnation, limit, answered(StartAnswer::NoAnswer));
         }
         let answer = self.targets[i].target.start(self.now, &request);
         self.answer(i, agent_incarnation, DELAY * 2, answered(answer));
@@ -174,9 +174,9 @@
             || self.targets[i].target.trouble.is_mute
             || self.loses_order(i);
         if is_lost {
-            let answer = RenewalAnswer::Silent;
+            let answer = RenewalAnswer::NoAnswer;
             let event = AgentEvent::RenewalAnswered { number, answer };
-            self.answer(i, agent_incarnation, renewal.limit, event);
+            self.answer(i, agent_incarnation, renewal.timeout, event);
             return self.delay_order(i, LateOrder::Renew(renewal, target_name));
         }
         let now = self.now;
@@ -219,8 +219,8 @@
             return self.answer(
                 i,
                 agent_incarnation,
-                query.limit,
-                answered(IncarnationAnswer::Silent),
+                query.timeout,
+                answered(IncarnationAnswer::NoAnswer),
             );
         }
         let target = &mut self.targets[i].target;
@@ -382,7 +382,7 @@
         simulated_target.down = down;
         for pending in std::mem::take(&mut simulated_target.pending_renewals) {
             let number = pending.renewal.number;
-            let answer = RenewalAnswer::Silent;
+            let answer = RenewalAnswer::NoAnswer;
             let event = AgentEvent::RenewalAnswered { number, answer };
             self.answer(i, pending.agent_incarnation, DELAY, event);
         }
--- a/lib/testutils/src/run_target.rs
+++ b/lib/testutils/src/run_target.rs
@@ -13,7 +13,7 @@
 use trestleknot_lib::run_event::{RenewalAnswer, StartAnswer};
 use trestleknot_lib::run_message::TargetInfo;
 use trestleknot_lib::run_table::FencingToken;
-use trestleknot_lib::target_incarnation::{BornMillis, TargetIncarnation, TargetName};
+use trestleknot_lib::target_incarnation::{StartMillis, TargetIncarnation, TargetName};
 use trestleknot_lib::target_lease::{EndNumber, ListedRun, TargetMillis};
 
 /// Default longest lease.
@@ -21,7 +21,7 @@
 /// Time that a stop takes.
 const STOP_TIME: Duration = Duration::from_millis(30);
 /// Wall-clock time at the start, in milliseconds since the epoch.
-const WALL_CLOCK_START: BornMillis = 1_785_000_000_000;
+const WALL_CLOCK_START: StartMillis = 1_785_000_000_000;
 /// Service of all simulated targets.
 pub const SERVICE: &str = "banca";
 
@@ -198,8 +198,8 @@
         }
     }
 
-    fn born_millis(&self) -> BornMillis {
-        WALL_CLOCK_START + self.born.as_millis() as BornMillis
+    fn born_millis(&self) -> StartMillis {
+        WALL_CLOCK_START + self.born.as_millis() as StartMillis
     }
 
     /// Its next report, with its sequence number.
