--- a/cli/src/platform_daemons.rs
+++ b/cli/src/platform_daemons.rs
@@ -241,11 +241,11 @@
     let store = Rc::new(Store::new(common.store).await);
     let node = AgentNode::start(options, target, store.clone(), store);
     let drain_node = node.clone();
-    let drain = move || drain_node.tell(AgentEvent::Drain);
+    let drain = move || drain_node.deliver(AgentEvent::Drain);
     ntex::rt::spawn(drain_on_signals(drain));
     let watch = SettingsWatch::new(path.to_owned(), load_agent_common, common.clone());
     let seeds_node = node.clone();
-    let on_new_seeds = move |seeds| seeds_node.tell(AgentEvent::Entries(seeds));
+    let on_new_seeds = move |seeds| seeds_node.deliver(AgentEvent::Entries(seeds));
     ntex::rt::spawn(watch.run(on_new_seeds));
     let (ended_node, log) = (node.clone(), log.clone());
     ntex::rt::spawn(async move {
--- a/lib/src/agent_node.rs
+++ b/lib/src/agent_node.rs
@@ -58,14 +58,14 @@
             ended: Notify::new(),
         });
         let node_to_wake = node.clone();
-        ntex::rt::spawn(timer.run(move || node_to_wake.tell(AgentEvent::Wake)));
-        node.tell(AgentEvent::Wake);
+        ntex::rt::spawn(timer.run(move || node_to_wake.deliver(AgentEvent::Wake)));
+        node.deliver(AgentEvent::Wake);
         node
     }
 
     /// Passes an event to the core and executes the resulting actions. A suspension of the VM is
     /// passed first, because it changes when the target's lease lapses.
-    pub fn tell(&self, event: AgentEvent) {
+    pub fn deliver(&self, event: AgentEvent) {
         let suspended = self.suspensions.take();
         if !suspended.is_zero() {
             self.handle_event(AgentEvent::Resumed(suspended));
@@ -135,7 +135,7 @@
         ntex::rt::spawn(async move {
             let answer = answer.await;
             me.figures.call(sent.elapsed());
-            me.tell(AgentEvent::StartAnswered { key, token, answer });
+            me.deliver(AgentEvent::StartAnswered { key, token, answer });
         });
     }
 
@@ -147,7 +147,7 @@
         let answer = self.target.renew(renewal, target_name);
         ntex::rt::spawn(async move {
             let answer = answer.await;
-            me.tell(AgentEvent::RenewalAnswered { number, answer });
+            me.deliver(AgentEvent::RenewalAnswered { number, answer });
         });
     }
 
@@ -159,7 +159,7 @@
         let answer = self.target.renew(query, Some(target_name));
         ntex::rt::spawn(async move {
             let answer = answer.await.into();
-            me.tell(AgentEvent::IncarnationChecked { number, answer });
+            me.deliver(AgentEvent::IncarnationChecked { number, answer });
         });
     }
 
@@ -169,7 +169,7 @@
         };
         ntex::rt::spawn(async move {
             match me.registry.list().await {
-                Ok(addresses) => me.tell(AgentEvent::Entries(addresses)),
+                Ok(addresses) => me.deliver(AgentEvent::Entries(addresses)),
                 Err(e) => log_store_failure(&e),
             }
         });
@@ -193,7 +193,7 @@
                     None
                 }
             };
-            me.tell(AgentEvent::Evacuations(state));
+            me.deliver(AgentEvent::Evacuations(state));
         });
     }
 
@@ -221,7 +221,7 @@
 impl LinkSink for AgentNode {
     fn link_up(&self, link: SessionId, dialled: Option<SocketAddr>) {
         match dialled {
-            Some(address) => self.tell(AgentEvent::LinkUp(link, address)),
+            Some(address) => self.deliver(AgentEvent::LinkUp(link, address)),
             // An agent accepts no links.
             None => self.links.close(link),
         }
@@ -229,13 +229,13 @@
 
     fn packet(&self, link: SessionId, packet: Packet) {
         match packet {
-            Packet::FromEntry(packet) => self.tell(AgentEvent::Packet(link, packet)),
+            Packet::FromEntry(packet) => self.deliver(AgentEvent::Packet(link, packet)),
             // Agents dial only entries, which send only this kind of packet to an agent.
             Packet::FromAgent(_) | Packet::BetweenEntries(_) => self.links.close(link),
         }
     }
 
     fn link_down(&self, link: SessionId) {
-        self.tell(AgentEvent::LinkDown(link));
+        self.deliver(AgentEvent::LinkDown(link));
     }
 }
--- a/lib/src/agent_sessions.rs
+++ b/lib/src/agent_sessions.rs
@@ -10,11 +10,11 @@
 use crate::ids::{Incarnation, SessionId};
 use crate::ledger::Resume;
 use crate::message::{AgentHello, AgentMessage, EntryMessage, Frame, PROTOCOL_VERSION, Welcome};
-use crate::outbox::Passed;
+use crate::outbox::ExchangedFrames;
 
 impl AgentCore {
     pub(crate) fn entry_connected(&mut self, session: SessionId) {
-        let passed = Passed::default();
+        let passed = ExchangedFrames::default();
         self.links
             .open(session, EntryLink::default(), passed, self.now);
         // The welcome sets the real limit. This one closes the session if the welcome is lost.
--- a/lib/src/apply.rs
+++ b/lib/src/apply.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::clock::BootInstant;
-use crate::config_chain::{ChangeFate, ConfigChain, ConfigState, LogRecord, SeenChange};
+use crate::config_chain::{ChangeOutcome, ConfigChain, ConfigState, LogRecord, SeenChange};
 use crate::config_document::Document;
 use crate::platform::{LogService, PlatformResult};
 
@@ -127,11 +127,11 @@
     loop {
         let seen = follower.catch_up(log).await.unwrap_or_default();
         if let Some(own_change) = seen.iter().find(|s| s.nonce == change.nonce) {
-            return Some(match own_change.fate {
-                ChangeFate::InForce(stamp) => ApplyOutcome::InForce {
+            return Some(match own_change.outcome {
+                ChangeOutcome::InForce(stamp) => ApplyOutcome::InForce {
                     version: stamp.version,
                 },
-                ChangeFate::LostRace { head } => ApplyOutcome::LostRace { head: head.version },
+                ChangeOutcome::LostRace { head } => ApplyOutcome::LostRace { head: head.version },
             });
         }
         if began.elapsed() >= change.patience {
--- a/lib/src/config_chain.rs
+++ b/lib/src/config_chain.rs
@@ -93,7 +93,7 @@
 
 /// Outcome of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ChangeFate {
+pub enum ChangeOutcome {
     /// The change became the head.
     InForce(ConfigStamp),
     /// The configuration that the change replaces was not the head any more.
@@ -109,12 +109,12 @@
     /// Nonce of the change's record.
     pub nonce: u64,
     /// Outcome of the change.
-    pub fate: ChangeFate,
+    pub outcome: ChangeOutcome,
 }
 
 /// Result of adopting a state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Adopted {
+pub enum AdoptOutcome {
     /// The head was replaced by a newer one.
     Newer,
     /// The head is unchanged, but known to be exact up to a higher offset.
@@ -193,7 +193,7 @@
     }
 
     /// Records the stamp of a configuration that exists elsewhere.
-    pub fn heard_of(&mut self, stamp: ConfigStamp) {
+    pub fn note_known_version(&mut self, stamp: ConfigStamp) {
         if stamp.version > self.newest_known.version {
             self.newest_known = stamp;
         }
@@ -210,13 +210,13 @@
     }
 
     /// Adopts a state from a peer or a snapshot if it is newer or exact up to a higher offset.
-    pub fn adopt(&mut self, state: &ConfigState) -> Adopted {
+    pub fn adopt(&mut self, state: &ConfigState) -> AdoptOutcome {
         let newer = match &self.held {
             None => true,
             Some(held) => state.stamp.version > held.state.stamp.version,
         };
         if newer && state.has_valid_stamp() && self.install(state.clone()) {
-            return Adopted::Newer;
+            return AdoptOutcome::Newer;
         }
         if let Some(held) = &mut self.held
             && held.state.stamp == state.stamp
@@ -224,16 +224,16 @@
         {
             held.state.read_to = state.read_to;
             self.read_from = state.read_to;
-            return Adopted::Extended;
+            return AdoptOutcome::Extended;
         }
-        Adopted::Nothing
+        AdoptOutcome::Nothing
     }
 
     fn install(&mut self, state: ConfigState) -> bool {
         let Ok(document) = Document::parse("log", &state.text) else {
             return false;
         };
-        self.heard_of(state.stamp);
+        self.note_known_version(state.stamp);
         self.read_from = state.read_to;
         self.head_offset = None;
         self.held = Some(HeldConfig {
@@ -258,7 +258,7 @@
             let adopted = self.read_record(stored, batch.from, now, &mut seen);
             // A snapshot raised the held state. Earlier records of this batch may now follow it, so
             // start again.
-            at = if adopted == Adopted::Nothing {
+            at = if adopted == AdoptOutcome::Nothing {
                 at + 1
             } else {
                 0
@@ -315,7 +315,7 @@
         from: LogOffset,
         now: Now,
         seen: &mut Vec<SeenChange>,
-    ) -> Adopted {
+    ) -> AdoptOutcome {
         match &stored.record {
             Some(LogRecord::Change {
                 nonce,
@@ -323,28 +323,28 @@
                 text,
                 ..
             }) => {
-                if let Some(fate) = self.read_change(stored.offset, from, *replaces, text) {
-                    if matches!(fate, ChangeFate::InForce(_)) {
+                if let Some(outcome) = self.read_change(stored.offset, from, *replaces, text) {
+                    if matches!(outcome, ChangeOutcome::InForce(_)) {
                         self.note_head_record(stored.offset, now);
                     }
                     let nonce = *nonce;
-                    seen.push(SeenChange { nonce, fate });
+                    seen.push(SeenChange { nonce, outcome });
                 }
-                Adopted::Nothing
+                AdoptOutcome::Nothing
             }
             Some(LogRecord::Snapshot { state }) => {
                 let usable = state.read_to >= from;
                 let adopted = if usable {
                     self.adopt(state)
                 } else {
-                    Adopted::Nothing
+                    AdoptOutcome::Nothing
                 };
                 if state.stamp == self.stamp() {
                     self.note_head_record(stored.offset, now);
                 }
                 adopted
             }
-            None => Adopted::Nothing,
+            None => AdoptOutcome::Nothing,
         }
     }
 
@@ -361,7 +361,7 @@
         from: LogOffset,
         replaces: ConfigStamp,
         text: &Arc<str>,
-    ) -> Option<ChangeFate> {
+    ) -> Option<ChangeOutcome> {
         let state = &self.held.as_ref()?.state;
         if offset < state.read_to || state.read_to < from {
             return None;
@@ -374,12 +374,12 @@
             read_to: offset + 1,
         };
         if replaces == head && self.install(next) {
-            return Some(ChangeFate::InForce(stamp));
+            return Some(ChangeOutcome::InForce(stamp));
         }
         if let Some(held) = &mut self.held {
             held.state.read_to = offset + 1;
         }
-        Some(ChangeFate::LostRace { head })
+        Some(ChangeOutcome::LostRace { head })
     }
 
     /// Whether the last record with the head is older than `every` or has expired from the log.
--- a/lib/src/entry_directory.rs
+++ b/lib/src/entry_directory.rs
@@ -14,7 +14,7 @@
 
 use crate::batch_event::{EntryAction, EntryOptions};
 use crate::config_fetch::ConfigFetch;
-use crate::evacuations::{EvacuatedHalls, EvacuationsInForce, Offered};
+use crate::evacuations::{EvacuatedHalls, EvacuationsInForce, OfferOutcome};
 use crate::events::{EventCode, LogEvent};
 use crate::ids::{Now, SessionId};
 use crate::peer_closings::PeerClosings;
@@ -167,7 +167,7 @@
             life: self.options.incarnation,
             address: self.options.address,
             config: self.config.version(),
-            evacuations: self.evacuations.state().place,
+            evacuations: self.evacuations.state().position,
             entries: self.peers.known(),
         }
     }
@@ -231,7 +231,7 @@
                     self.offer_config(now, &table, "entry");
                 }
                 PeerNews::Evacuations(state) => {
-                    self.peers.note_evacuations(link, state.place);
+                    self.peers.note_evacuations(link, state.position);
                     effects.evacuations_changed |= self.offer_evacuations(now, &state, "entry");
                 }
                 PeerNews::Entries(addresses) => {
@@ -272,9 +272,9 @@
             self.peers.tell(now, link, news);
         }
         let state = self.evacuations.state();
-        if state.place > intro.evacuations {
+        if state.position > intro.evacuations {
             let news = PeerNews::Evacuations(state.clone());
-            self.peers.note_evacuations(link, state.place);
+            self.peers.note_evacuations(link, state.position);
             self.peers.tell(now, link, news);
         }
         let mut addresses = intro.entries.clone();
@@ -389,10 +389,10 @@
     /// Applies a newer state of the evacuations. If the evacuated halls differ, forwards it and
     /// returns true.
     fn offer_evacuations(&mut self, now: Now, state: &Arc<EvacuatedHalls>, from: &str) -> bool {
-        if self.evacuations.offer(state) != Offered::Changed {
+        if self.evacuations.offer(state) != OfferOutcome::Changed {
             return false;
         }
-        let (halls, place) = (state.names(), state.place);
+        let (halls, place) = (state.names(), state.position);
         self.log(
             EventCode::EvacuationsChanged,
             format!("halls=[{halls}] place={place} from={from}"),
--- a/lib/src/entry_links.rs
+++ b/lib/src/entry_links.rs
@@ -9,7 +9,9 @@
 use crate::message::{EntryMessage, PeerHello, PeerMessage};
 use crate::permit::FleetSecret;
 use crate::ring::{RingRx, RingTx, TaskWaker};
-use crate::session_links::{self, Adopt, HandshakeConfig, LinkCommand, LinkTraffic, SessionLinks};
+use crate::session_links::{
+    self, HandshakeConfig, LinkCommand, LinkTraffic, SessionAcceptor, SessionLinks,
+};
 
 /// URL path of agents' sessions.
 pub const AGENT_PATH: &str = "/agent";
@@ -68,7 +70,7 @@
                 return;
             }
         };
-        let adopters: Vec<Rc<dyn Adopt>> = vec![agents.clone(), peers.clone()];
+        let adopters: Vec<Rc<dyn SessionAcceptor>> = vec![agents.clone(), peers.clone()];
         let accept =
             tokio::task::spawn_local(session_links::accept_all(listener, self.secret, adopters));
         tokio::join!(
--- a/lib/src/entry_peers.rs
+++ b/lib/src/entry_peers.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use crate::config_chain::Adopted;
+use crate::config_chain::AdoptOutcome;
 use crate::counters::Kind as _;
 use crate::entry::{EntryAction, EntryCore};
 use crate::events::EventCode;
 use crate::frame_order::FrameOrder;
 use crate::ids::{Incarnation, SessionId};
 use crate::message::{Frame, PROTOCOL_VERSION, PeerHello, PeerMessage, PeerReport};
-use crate::outbox::{Passed, PeerLink};
+use crate::outbox::{ExchangedFrames, PeerLink};
 
 /// Minimum interval between reports to one peer.
 const MIN_REPORT_EVERY: Duration = Duration::from_millis(100);
@@ -40,7 +40,7 @@
             waiting_work_ms: 0,
             reported_at: self.now,
         };
-        let passed = Passed {
+        let passed = ExchangedFrames {
             sent: 1,
             received: 1,
         };
@@ -80,7 +80,7 @@
                 }
             }
             PeerMessage::Config(state) => {
-                if self.config.adopt(&state) == Adopted::Newer {
+                if self.config.adopt(&state) == AdoptOutcome::Newer {
                     self.config_changed();
                 }
             }
@@ -114,7 +114,7 @@
     /// Fetches a peer's configuration if it is newer, if none is held here, or if it could fill a
     /// gap in the log as read here.
     fn check_peer_config(&mut self, session: SessionId, stamp: crate::config_chain::ConfigStamp) {
-        self.config.heard_of(stamp);
+        self.config.note_known_version(stamp);
         let newer = stamp.version > self.config.stamp().version;
         let none_held = self.config.document().is_none();
         if newer || none_held || self.config.has_gap() {
--- a/lib/src/entry_platform.rs
+++ b/lib/src/entry_platform.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng as _;
 
-use crate::config_chain::{ChangeFate, ConfigState, LogBatch, LogRecord};
+use crate::config_chain::{ChangeOutcome, ConfigState, LogBatch, LogRecord};
 use crate::entry::{EntryAction, EntryCore, Reply};
 use crate::entry_targets::ABSENCE_TIMEOUT;
 use crate::events::EventCode;
@@ -113,7 +113,7 @@
         let had = self.config.document().is_some();
         let more = batch.next < batch.end;
         for seen in self.config.read(&batch, self.now) {
-            if let ChangeFate::LostRace { head } = seen.fate {
+            if let ChangeOutcome::LostRace { head } = seen.outcome {
                 let detail = format!("to version {}", head.version);
                 self.log(EventCode::ConfigLost, detail);
             }
--- a/lib/src/entry_targets.rs
+++ b/lib/src/entry_targets.rs
@@ -17,7 +17,7 @@
     AgentConfig, AgentHello, AgentMessage, Dispatch, DispatchFate, DispatchRefusal, EntryMessage,
     Frame, PROTOCOL_VERSION, SettledDispatch, Welcome,
 };
-use crate::outbox::{AgentLink, Passed};
+use crate::outbox::{AgentLink, ExchangedFrames};
 use crate::placement::Signal;
 use crate::target_table::{Outstanding, Target};
 
@@ -57,13 +57,13 @@
             self.agents.close(old);
             self.actions.push(EntryAction::CloseAgent(old));
         }
-        let passed = Passed {
+        let passed = ExchangedFrames {
             sent: 0,
             received: 1,
         };
         self.agents.open(session, AgentLink, passed, self.now);
         self.record_clock_offset(id, hello.uptime_ms);
-        self.config.heard_of(hello.config);
+        self.config.note_known_version(hello.config);
         if hello.leaving {
             self.target_leaves(id);
         }
@@ -184,7 +184,7 @@
             } => {
                 self.record_clock_offset(id, uptime_ms);
                 self.record_free_slots(id, free);
-                self.config.heard_of(config);
+                self.config.note_known_version(config);
             }
             AgentMessage::Claimed { claim, answer } => self.claimed(claim, answer),
             AgentMessage::Leaving => {
--- a/lib/src/evacuations.rs
+++ b/lib/src/evacuations.rs
@@ -23,7 +23,7 @@
 pub struct EvacuatedHalls {
     /// Position up to which all records are included.
     #[serde(rename = "p")]
-    pub place: StorePosition,
+    pub position: StorePosition,
     /// Names of the evacuated halls.
     #[serde(rename = "h")]
     pub halls: BTreeSet<HallName>,
@@ -46,11 +46,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EvacuationRecords {
     /// Whether these are the newest records of all keys, not only those since the previous read.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Halls in the order of their records, and whether each is evacuated.
     pub halls: Vec<(HallName, bool)>,
     /// Position in the log after the last record.
-    pub place: StorePosition,
+    pub position: StorePosition,
 }
 
 /// Builds the current state from successive reads of the operator's records.
@@ -63,7 +63,7 @@
     /// Applies a read and returns the new state. Each read must begin where the previous one ended,
     /// or be whole.
     pub fn read(&mut self, records: EvacuationRecords) -> EvacuatedHalls {
-        if records.is_whole {
+        if records.is_complete {
             self.halls.clear();
         }
         for (hall, is_evacuated) in records.halls {
@@ -74,7 +74,7 @@
             }
         }
         EvacuatedHalls {
-            place: records.place,
+            position: records.position,
             halls: self.halls.clone(),
         }
     }
@@ -82,7 +82,7 @@
 
 /// Result of [`EvacuationsInForce::offer`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offered {
+pub enum OfferOutcome {
     /// The state is not newer than the one in force.
     Old,
     /// The state is newer and holds the same halls.
@@ -99,16 +99,16 @@
 
 impl EvacuationsInForce {
     /// Applies a state if it is newer than the one in force.
-    pub fn offer(&mut self, state: &Arc<EvacuatedHalls>) -> Offered {
-        if state.place <= self.state.place {
-            return Offered::Old;
+    pub fn offer(&mut self, state: &Arc<EvacuatedHalls>) -> OfferOutcome {
+        if state.position <= self.state.position {
+            return OfferOutcome::Old;
         }
         let is_same = state.halls == self.state.halls;
         self.state = state.clone();
         if is_same {
-            Offered::Confirmed
+            OfferOutcome::Confirmed
         } else {
-            Offered::Changed
+            OfferOutcome::Changed
         }
     }
 
@@ -166,12 +166,12 @@
     }
 
     /// Records that the state in force here was current at the store at this time.
-    pub fn known(&mut self, at: Now) {
+    pub fn confirmed(&mut self, at: Now) {
         self.known_at = self.known_at.max(at);
     }
 
     /// When to query the store, unless there is news from it before then.
-    pub fn ask_at(&self) -> Option<Now> {
+    pub fn query_at(&self) -> Option<Now> {
         let after = self.ask_after?;
         let again = self.asked_at.map_or(Now::ZERO, |at| at + after);
         Some(again.max(self.known_at + after))
@@ -179,7 +179,7 @@
 
     /// Whether to query the store now; if so, records the query.
     pub fn take_due(&mut self, now: Now) -> bool {
-        let is_due = self.ask_at().is_some_and(|at| at <= now);
+        let is_due = self.query_at().is_some_and(|at| at <= now);
         if is_due {
             self.asked_at = Some(now);
         }
--- a/lib/src/link_auth.rs
+++ b/lib/src/link_auth.rs
@@ -31,7 +31,7 @@
     Ended,
     /// The other side did not prove that it knows the secret.
     #[snafu(display("the other side does not know the fleet secret"))]
-    Stranger,
+    WrongSecret,
 }
 
 /// The operations on a WebSocket that the handshake needs.
@@ -54,9 +54,9 @@
     let ours = nonce();
     send(socket, ours.to_vec()).await?;
     let reply = receive(socket).await?;
-    ensure!(reply.len() == SEAL_LEN + NONCE_LEN, StrangerSnafu);
+    ensure!(reply.len() == SEAL_LEN + NONCE_LEN, WrongSecretSnafu);
     let (seal, theirs) = reply.split_at(SEAL_LEN);
-    ensure!(secret.verify(DIAL_PURPOSE, &ours, seal), StrangerSnafu);
+    ensure!(secret.verify(DIAL_PURPOSE, &ours, seal), WrongSecretSnafu);
     send(socket, secret.seal(ACCEPT_PURPOSE, theirs).to_vec()).await
 }
 
@@ -70,7 +70,7 @@
     let seal = receive(socket).await?;
     ensure!(
         seal.len() == SEAL_LEN && secret.verify(ACCEPT_PURPOSE, &ours, &seal),
-        StrangerSnafu
+        WrongSecretSnafu
     );
     Ok(())
 }
@@ -84,6 +84,6 @@
     let message = socket.next().await.context(EndedSnafu)?;
     match message.context(BrokenSnafu)? {
         Message::Binary(bytes) => Ok(bytes.to_vec()),
-        _ => StrangerSnafu.fail(),
+        _ => WrongSecretSnafu.fail(),
     }
 }
--- a/lib/src/outbox.rs
+++ b/lib/src/outbox.rs
@@ -66,7 +66,7 @@
 
 /// Numbers of frames exchanged on a session before the core takes it over.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Passed {
+pub struct ExchangedFrames {
     /// Frames sent by this side.
     pub sent: u64,
     /// Frames received from the other side.
@@ -78,7 +78,7 @@
 
 impl<M, S> Outboxes<M, S> {
     /// Adds a session on which the hello frames have already been exchanged.
-    pub fn open(&mut self, session: SessionId, state: S, passed: Passed, now: Now) {
+    pub fn open(&mut self, session: SessionId, state: S, passed: ExchangedFrames, now: Now) {
         let link = Link {
             state,
             sender: FrameSender::after(passed.sent),
--- a/lib/src/peer_table.rs
+++ b/lib/src/peer_table.rs
@@ -178,8 +178,8 @@
     /// Sends the evacuated halls at once to every entry that knows an older state.
     pub fn tell_evacuations(&mut self, now: Now, state: &Arc<EvacuatedHalls>) {
         for peer in self.links.values_mut() {
-            if peer.evacuations < state.place {
-                peer.evacuations = state.place;
+            if peer.evacuations < state.position {
+                peer.evacuations = state.position;
                 let news = PeerNews::Evacuations(state.clone());
                 peer.add(now, news, Duration::ZERO);
             }
--- a/lib/src/platform_ports.rs
+++ b/lib/src/platform_ports.rs
@@ -18,18 +18,18 @@
 #[snafu(visibility(pub))]
 pub enum PortError {
     /// No answer, or an answer that the call was not carried out.
-    #[snafu(display("{what}: {cause}"))]
+    #[snafu(display("{operation}: {cause}"))]
     NoAnswer {
         /// The call.
-        what: &'static str,
+        operation: &'static str,
         /// What happened.
         cause: String,
     },
     /// An answer that can't be parsed.
-    #[snafu(display("{what}: unreadable: {cause}"))]
+    #[snafu(display("{operation}: unreadable: {cause}"))]
     Unreadable {
         /// The call.
-        what: &'static str,
+        operation: &'static str,
         /// Position and reason.
         cause: String,
     },
@@ -61,7 +61,7 @@
 
 /// Contents of a read of the operators' records.
 #[derive(Debug, Clone, PartialEq)]
-pub struct OperatorNews {
+pub struct OperatorRecords {
     /// The newest configuration among the records.
     pub config: Option<QueueTable>,
     /// The evacuation records.
@@ -74,10 +74,10 @@
 pub trait OperatorFeed {
     /// Waits for the next records; the first call returns those in force. If none arrive for a
     /// while, the answer holds only the store position up to which there is nothing new.
-    fn next(&self) -> LocalBoxFuture<'_, PortResult<OperatorNews>>;
+    fn next(&self) -> LocalBoxFuture<'_, PortResult<OperatorRecords>>;
 
     /// Reads the records in force now. Does not affect what [`Self::next`] returns.
-    fn newest(&self) -> LocalBoxFuture<'_, PortResult<OperatorNews>>;
+    fn newest(&self) -> LocalBoxFuture<'_, PortResult<OperatorRecords>>;
 }
 
 /// Registry of the entries' addresses, for processes whose seed addresses are all stale.
--- a/lib/src/run_agent.rs
+++ b/lib/src/run_agent.rs
@@ -335,7 +335,7 @@
                 Order::Evacuations(state) => self.offer_evacuations(&state, "entry"),
             }
         }
-        self.evacuation_watch.known(store_heard);
+        self.evacuation_watch.confirmed(store_heard);
     }
 
     fn welcomed(&mut self, welcome: Welcome) {
--- a/lib/src/run_agent/evacuation.rs
+++ b/lib/src/run_agent/evacuation.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::RunAgentCore;
-use crate::evacuations::{EvacuatedHalls, Offered};
+use crate::evacuations::{EvacuatedHalls, OfferOutcome};
 use crate::events::EventCode;
 use crate::ids::Now;
 use crate::run_event::AgentAction;
@@ -15,10 +15,10 @@
     }
 
     pub(super) fn offer_evacuations(&mut self, state: &Arc<EvacuatedHalls>, from: &str) {
-        if self.evacuations.offer(state) != Offered::Changed {
+        if self.evacuations.offer(state) != OfferOutcome::Changed {
             return;
         }
-        let (halls, place) = (state.names(), state.place);
+        let (halls, place) = (state.names(), state.position);
         let is_own = self.is_evacuated();
         self.log(
             EventCode::EvacuationsChanged,
@@ -32,7 +32,7 @@
         if self.entry_links.is_empty() {
             return None;
         }
-        self.evacuation_watch.ask_at()
+        self.evacuation_watch.query_at()
     }
 
     pub(super) fn ask_evacuations(&mut self) {
@@ -47,7 +47,7 @@
         let (Some(state), Some(asked_at)) = (answer, asked_at) else {
             return;
         };
-        self.evacuation_watch.known(asked_at);
+        self.evacuation_watch.confirmed(asked_at);
         self.offer_evacuations(&state, "store");
     }
 }
--- a/lib/src/session_links.rs
+++ b/lib/src/session_links.rs
@@ -373,15 +373,18 @@
 }
 
 /// Runs sessions on accepted and authenticated connections.
-pub trait Adopt {
+pub trait SessionAcceptor {
     /// URL path of the WebSockets that are handled here.
     fn path(&self) -> &'static str;
 
     /// Runs a session on this connection until it ends.
-    fn adopt(self: Rc<Self>, socket: WebSocketStream<TcpStream>) -> LocalBoxFuture<'static, ()>;
+    fn run_accepted(
+        self: Rc<Self>,
+        socket: WebSocketStream<TcpStream>,
+    ) -> LocalBoxFuture<'static, ()>;
 }
 
-impl<Out, In, Item> Adopt for SessionLinks<Out, In, Item>
+impl<Out, In, Item> SessionAcceptor for SessionLinks<Out, In, Item>
 where
     Out: Serialize + Clone + 'static,
     In: DeserializeOwned + 'static,
@@ -391,13 +394,20 @@
         self.handshake.path
     }
 
-    fn adopt(self: Rc<Self>, socket: WebSocketStream<TcpStream>) -> LocalBoxFuture<'static, ()> {
+    fn run_accepted(
+        self: Rc<Self>,
+        socket: WebSocketStream<TcpStream>,
+    ) -> LocalBoxFuture<'static, ()> {
         self.run_session(socket).boxed_local()
     }
 }
 
 /// Accepts connections and passes each to the links that serve its path. Never returns.
-pub async fn accept_all(listener: TcpListener, secret: FleetSecret, links: Vec<Rc<dyn Adopt>>) {
+pub async fn accept_all(
+    listener: TcpListener,
+    secret: FleetSecret,
+    links: Vec<Rc<dyn SessionAcceptor>>,
+) {
     let links = Rc::new(links);
     loop {
         match listener.accept().await {
@@ -410,14 +420,18 @@
     }
 }
 
-async fn accept_connection(stream: TcpStream, secret: FleetSecret, links: Rc<Vec<Rc<dyn Adopt>>>) {
+async fn accept_connection(
+    stream: TcpStream,
+    secret: FleetSecret,
+    links: Rc<Vec<Rc<dyn SessionAcceptor>>>,
+) {
     let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, handshake(stream, &secret));
     let Ok(Some(accepted)) = handshake.await else {
         return;
     };
     let by_path = links.iter().find(|l| l.path() == accepted.path);
     if let Some(links) = by_path {
-        links.clone().adopt(accepted.socket).await;
+        links.clone().run_accepted(accepted.socket).await;
     }
 }
 
--- a/lib/tests/test_batch_entry.rs
+++ b/lib/tests/test_batch_entry.rs
@@ -224,7 +224,7 @@
 fn evacuated(place: u64, halls: &[&str]) -> EntryEvent {
     let halls = halls.iter().map(|hall| Arc::from(*hall));
     EntryEvent::Evacuations(Arc::new(EvacuatedHalls {
-        place,
+        position: place,
         halls: halls.collect(),
     }))
 }
@@ -355,7 +355,7 @@
         EntryAction::Send(9, Packet::BetweenEntries(packet)) => packet
             .news
             .iter()
-            .any(|n| matches!(n, PeerNews::Evacuations(s) if s.place == 9)),
+            .any(|n| matches!(n, PeerNews::Evacuations(s) if s.position == 9)),
         _ => false,
     });
     assert!(is_forwarded, "{actions:?}");
--- a/lib/tests/test_config_chain.rs
+++ b/lib/tests/test_config_chain.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use trestleknot_lib::config_chain::{ChangeFate, ConfigChain, ConfigStamp, LogRecord};
+use trestleknot_lib::config_chain::{ChangeOutcome, ConfigChain, ConfigStamp, LogRecord};
 use trestleknot_lib::config_document::Document;
 use trestleknot_lib::memory_platform::{LogFaults, MemoryLog};
 
@@ -25,10 +25,10 @@
     }
 }
 
-fn read(chain: &mut ConfigChain, log: &MemoryLog) -> Vec<ChangeFate> {
+fn read(chain: &mut ConfigChain, log: &MemoryLog) -> Vec<ChangeOutcome> {
     let batch = log.read_now(chain.read_from()).expect("the log is up");
     let seen = chain.read(&batch, Duration::ZERO);
-    seen.into_iter().map(|s| s.fate).collect()
+    seen.into_iter().map(|s| s.outcome).collect()
 }
 
 #[test]
@@ -43,7 +43,10 @@
     let head = chain.stamp();
     assert_eq!(
         fates,
-        [ChangeFate::InForce(head), ChangeFate::LostRace { head }]
+        [
+            ChangeOutcome::InForce(head),
+            ChangeOutcome::LostRace { head }
+        ]
     );
     assert_eq!(head.version, 1);
 }
@@ -100,7 +103,7 @@
     let mut chain = ConfigChain::default();
     read(&mut chain, &log);
     assert!(chain.is_current());
-    chain.heard_of(ConfigStamp {
+    chain.note_known_version(ConfigStamp {
         version: 3,
         digest: 1,
     });
--- a/lib/tests/test_evacuations.rs
+++ b/lib/tests/test_evacuations.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use trestleknot_lib::evacuations::{
     EvacuatedHalls, EvacuationReader, EvacuationRecords, EvacuationWatch, EvacuationsInForce,
-    Offered,
+    OfferOutcome,
 };
 use trestleknot_lib::ids::{HallName, Now};
 
@@ -15,21 +15,21 @@
     Duration::from_millis(millis)
 }
 
-fn records(is_whole: bool, halls: &[(&str, bool)], place: u64) -> EvacuationRecords {
+fn records(is_complete: bool, halls: &[(&str, bool)], place: u64) -> EvacuationRecords {
     let halls = halls
         .iter()
         .map(|(hall, is_evacuated)| ((*hall).into(), *is_evacuated));
     EvacuationRecords {
-        is_whole,
+        is_complete,
         halls: halls.collect(),
-        place,
+        position: place,
     }
 }
 
 fn state(place: u64, halls: &[&str]) -> Arc<EvacuatedHalls> {
     let halls = halls.iter().map(|hall| HallName::from(*hall));
     Arc::new(EvacuatedHalls {
-        place,
+        position: place,
         halls: halls.collect(),
     })
 }
@@ -86,13 +86,13 @@
 #[test]
 fn test_offer_by_case() {
     let mut in_force = EvacuationsInForce::default();
-    assert_eq!(in_force.offer(&state(0, &["a"])), Offered::Old);
-    assert_eq!(in_force.offer(&state(5, &["a"])), Offered::Changed);
-    assert_eq!(in_force.offer(&state(6, &["a"])), Offered::Confirmed);
-    assert_eq!(in_force.offer(&state(6, &[])), Offered::Old);
-    assert_eq!(in_force.offer(&state(4, &[])), Offered::Old);
+    assert_eq!(in_force.offer(&state(0, &["a"])), OfferOutcome::Old);
+    assert_eq!(in_force.offer(&state(5, &["a"])), OfferOutcome::Changed);
+    assert_eq!(in_force.offer(&state(6, &["a"])), OfferOutcome::Confirmed);
+    assert_eq!(in_force.offer(&state(6, &[])), OfferOutcome::Old);
+    assert_eq!(in_force.offer(&state(4, &[])), OfferOutcome::Old);
     assert!(in_force.contains("a"));
-    assert_eq!(in_force.offer(&state(7, &[])), Offered::Changed);
+    assert_eq!(in_force.offer(&state(7, &[])), OfferOutcome::Changed);
     assert!(!in_force.contains("a"));
 }
 
@@ -100,15 +100,15 @@
 fn test_take_due_asks_only_when_nothing_is_heard() {
     let mut watch = EvacuationWatch::new(ms(0), Some(ms(5_000)));
     assert!(!watch.take_due(ms(1_400)));
-    watch.known(ms(1_400));
+    watch.confirmed(ms(1_400));
     assert!(!watch.take_due(ms(2_800)));
     assert!(watch.take_due(ms(2_900)));
     // It waits as long again before the next query.
     assert!(!watch.take_due(ms(4_000)));
     assert!(watch.take_due(ms(4_400)));
     // An older state that arrives late changes nothing.
-    watch.known(ms(1_000));
-    assert_eq!(watch.ask_at(), Some(ms(5_900)));
+    watch.confirmed(ms(1_000));
+    assert_eq!(watch.query_at(), Some(ms(5_900)));
 }
 
 #[test]
@@ -121,9 +121,9 @@
         (Some(ms(0)), Some(ms(200))),
         (None, None),
     ];
-    for (bound, ask_at) in cases {
+    for (bound, query_at) in cases {
         let watch = EvacuationWatch::new(ms(0), bound);
-        assert_eq!(watch.ask_at(), ask_at, "{bound:?}");
+        assert_eq!(watch.query_at(), query_at, "{bound:?}");
     }
 }
 
@@ -150,17 +150,17 @@
     fn whole(&self, place: usize) -> EvacuationRecords {
         let halls = self.halls_at(place);
         EvacuationRecords {
-            is_whole: true,
+            is_complete: true,
             halls: halls.into_iter().map(|hall| (hall, true)).collect(),
-            place: place as u64,
+            position: place as u64,
         }
     }
 
     fn since(&self, from: usize) -> EvacuationRecords {
         EvacuationRecords {
-            is_whole: false,
+            is_complete: false,
             halls: self.records[from..].to_vec(),
-            place: self.records.len() as u64,
+            position: self.records.len() as u64,
         }
     }
 }
@@ -199,7 +199,7 @@
 
 impl Process {
     fn read(&mut self, records: EvacuationRecords) {
-        self.next = Some(records.place as usize);
+        self.next = Some(records.position as usize);
         let state = self.reader.read(records);
         self.in_force.offer(&Arc::new(state));
     }
@@ -213,7 +213,7 @@
         let mut log = Log::default();
         let mut processes = [Process::default(), Process::default(), Process::default()];
         for step in steps {
-            let before: Vec<u64> = processes.iter().map(|p| p.in_force.state().place).collect();
+            let before: Vec<u64> = processes.iter().map(|p| p.in_force.state().position).collect();
             let mut restarted = None;
             match step {
                 Step::Order(hall, evacuates) => {
@@ -244,8 +244,8 @@
             }
             for (index, process) in processes.iter().enumerate() {
                 let known = process.in_force.state();
-                prop_assert_eq!(&known.halls, &log.halls_at(known.place as usize));
-                prop_assert!(known.place >= before[index] || restarted == Some(index));
+                prop_assert_eq!(&known.halls, &log.halls_at(known.position as usize));
+                prop_assert!(known.position >= before[index] || restarted == Some(index));
             }
         }
     }
--- a/lib/tests/test_outward_names.rs
+++ b/lib/tests/test_outward_names.rs
@@ -59,7 +59,7 @@
 };
 use trestleknot_lib::placement::PlacementMode;
 use trestleknot_lib::platform_ports::{
-    EntryRegistry, OperatorFeed, OperatorNews, PortResult, TargetPort,
+    EntryRegistry, OperatorFeed, OperatorRecords, PortResult, TargetPort,
 };
 use trestleknot_lib::preferred_entries::{LinkStep, PREFERRED_COUNT, PreferredEntries};
 use trestleknot_lib::queue::{Queue, QueueTable, RequestLimits};
@@ -506,7 +506,7 @@
 
 fn halls() -> Arc<EvacuatedHalls> {
     Arc::new(EvacuatedHalls {
-        place: 17,
+        position: 17,
         halls: ["hall-1".into(), "hall-2".into()].into(),
     })
 }
@@ -1406,11 +1406,11 @@
 }
 
 impl OperatorFeed for Mute {
-    fn next(&self) -> LocalBoxFuture<'_, PortResult<OperatorNews>> {
+    fn next(&self) -> LocalBoxFuture<'_, PortResult<OperatorRecords>> {
         pending().boxed_local()
     }
 
-    fn newest(&self) -> LocalBoxFuture<'_, PortResult<OperatorNews>> {
+    fn newest(&self) -> LocalBoxFuture<'_, PortResult<OperatorRecords>> {
         pending().boxed_local()
     }
 }
--- a/lib/tests/test_run_agent/evacuation.rs
+++ b/lib/tests/test_run_agent/evacuation.rs
@@ -5,7 +5,7 @@
 fn evacuated(place: u64, halls: &[&str]) -> Arc<EvacuatedHalls> {
     let halls = halls.iter().map(|hall| Arc::from(*hall));
     Arc::new(EvacuatedHalls {
-        place,
+        position: place,
         halls: halls.collect(),
     })
 }
--- a/lib/tests/test_target_registry.rs
+++ b/lib/tests/test_target_registry.rs
@@ -163,7 +163,7 @@
     registry.heard(ms(10), HEALTHY, with_pace(300));
     registry.heard(ms(10), 3, with_pace(100));
     registry.note_evacuations(&Arc::new(EvacuatedHalls {
-        place: 1,
+        position: 1,
         halls: [HallName::from("maadi")].into(),
     }));
     assert!(!registry.is_ejected(ms(11), HEALTHY));
--- a/lib/testutils/src/run_fleet/operators.rs
+++ b/lib/testutils/src/run_fleet/operators.rs
@@ -92,7 +92,7 @@
 
     fn evacuated(&self) -> Arc<EvacuatedHalls> {
         Arc::new(EvacuatedHalls {
-            place: self.operators.store_position,
+            position: self.operators.store_position,
             halls: self.operators.halls.clone(),
         })
     }
