--- a/lib/src/active_batch.rs
+++ b/lib/src/active_batch.rs
@@ -64,7 +64,7 @@
     /// Records a task that is slow at an agent, with its projected run time. Returns whether tasks
     /// have been slow at two agents. The estimate then counts as wrong: the shortest projected time
     /// replaces it in further orders, so that targets don't appear slow.
-    pub fn is_slow_everywhere(&mut self, agent: &NodeName, projected: Duration) -> bool {
+    pub fn record_slow_task(&mut self, agent: &NodeName, projected: Duration) -> bool {
         let (first, shortest) = self
             .slow_at
             .get_or_insert_with(|| (agent.clone(), projected));
@@ -124,7 +124,7 @@
     /// Time at which the caller stops waiting.
     pub caller_deadline: Now,
     /// Latest time of its first placement at which it can still be in time.
-    pub in_time_until: Now,
+    pub latest_on_time_start: Now,
     /// Time at which it is refused if none of its tasks has been placed.
     pub placement_deadline: Now,
     /// Whether a start order was ever sent for it.
@@ -169,7 +169,7 @@
             due: times.due,
             is_overdue: times.is_overdue,
             caller_deadline: times.caller_deadline,
-            in_time_until: times.in_time_until,
+            latest_on_time_start: times.latest_on_time_start,
             placement_deadline: times.placement_deadline,
             was_dispatched: false,
             payload_sent_to: BTreeSet::new(),
@@ -265,8 +265,8 @@
     pub is_overdue: bool,
     /// Same as [`Batch::caller_deadline`].
     pub caller_deadline: Now,
-    /// Same as [`Batch::in_time_until`].
-    pub in_time_until: Now,
+    /// Same as [`Batch::latest_on_time_start`].
+    pub latest_on_time_start: Now,
     /// Same as [`Batch::placement_deadline`].
     pub placement_deadline: Now,
 }
--- a/lib/src/agent_node.rs
+++ b/lib/src/agent_node.rs
@@ -199,9 +199,9 @@
 
     /// Renders the metrics page.
     pub fn metrics(&self) -> String {
-        let levels = self.core.borrow().levels();
-        self.figures.level("runs", levels.runs);
-        self.figures.level("entries", levels.entries);
+        let gauges = self.core.borrow().gauges();
+        self.figures.level("runs", gauges.runs);
+        self.figures.level("entries", gauges.entries);
         let received = self.links.bytes_received();
         self.figures.level("link_bytes_received", received);
         self.figures.link_bytes(&self.links.bytes_sent());
--- a/lib/src/backlog_monitor.rs
+++ b/lib/src/backlog_monitor.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns the longest time that a new batch with this slack may wait.
-    pub fn allowance(&self, now: Now, slack: Duration) -> Duration {
+    pub fn max_wait(&self, now: Now, slack: Duration) -> Duration {
         let has_backlog = self.since.is_some_and(|since| since + BACKLOG_AFTER <= now);
         if has_backlog {
             slack.mul_f64(BACKLOG_SLACK_SHARE)
--- a/lib/src/batch_entry.rs
+++ b/lib/src/batch_entry.rs
@@ -16,7 +16,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::backlog_monitor::BacklogMonitor;
-use crate::batch_event::{EntryAction, EntryEvent, EntryLevels, EntryOptions, Reply};
+use crate::batch_event::{EntryAction, EntryEvent, EntryGauges, EntryOptions, Reply};
 use crate::batch_placing::{PlacementRound, StartGroup};
 use crate::batch_table::{BatchChange, BatchTable, RunOutcome};
 use crate::deferred_batches::DeferredBatches;
@@ -137,7 +137,7 @@
     fn record_traffic(&mut self) {
         for action in &self.actions {
             let bytes = match action {
-                EntryAction::Send(_, packet) => packet.rough_bytes(),
+                EntryAction::Send(_, packet) => packet.approximate_bytes(),
                 EntryAction::Reply(..) => REPLY_BYTES,
                 _ => continue,
             };
@@ -172,8 +172,8 @@
     }
 
     /// Returns the gauges for the metrics page.
-    pub fn levels(&self) -> EntryLevels {
-        EntryLevels {
+    pub fn gauges(&self) -> EntryGauges {
+        EntryGauges {
             batches: self.table.len() as u64,
             targets: self.targets.usable(self.now) as u64,
             config_version: self.directory.config().version(),
@@ -191,8 +191,8 @@
             EntryEvent::Wake => self.wake(),
             EntryEvent::Submit(submission) => self.submit(submission),
             EntryEvent::CallerGone(request) => self.handle_caller_gone(request),
-            EntryEvent::Ask(question) => self.answer_query(&question),
-            EntryEvent::Cancel(question) => self.cancel(&question),
+            EntryEvent::Query(query) => self.answer_query(&query),
+            EntryEvent::Cancel(query) => self.cancel(&query),
             EntryEvent::Config(table) => self.directory.offer_config(self.now, &table, "store"),
             EntryEvent::Evacuations(state) => {
                 if self.directory.store_answered(self.now, &state) {
@@ -203,7 +203,8 @@
             EntryEvent::LinkUp(link, dialled) => self.handle_link_up(link, dialled),
             EntryEvent::LinkDown(link) => {
                 self.handle_link_down(link);
-                self.targets.note_entries(self.directory.entries_a_target());
+                self.targets
+                    .note_entries(self.directory.entries_per_target());
             }
             EntryEvent::Packet(link, Packet::FromAgent(packet)) => {
                 self.handle_agent_packet(link, packet)
@@ -374,7 +375,8 @@
 
     fn handle_peer_packet(&mut self, link: SessionId, packet: PeerPacket) {
         let effects = self.directory.packet(self.now, link, packet);
-        self.targets.note_entries(self.directory.entries_a_target());
+        self.targets
+            .note_entries(self.directory.entries_per_target());
         self.announce_entries(effects.entries);
         self.needs_placing |= effects.may_place;
         if effects.evacuations_changed {
--- a/lib/src/batch_entry/agents.rs
+++ b/lib/src/batch_entry/agents.rs
@@ -15,7 +15,7 @@
     AgentMillis, AgentNews, AgentPacket, EntryPacket, Order, Packet, Welcome,
 };
 use crate::target_health::HealthReport;
-use crate::target_registry::{EjectionChange, LoadReport, Need, StartRefusal};
+use crate::target_registry::{EjectionChange, LoadReport, StartRefusal, TaskRequirements};
 
 /// A slow run is moved if running it elsewhere takes less than this share of its remaining time.
 const MOVE_THRESHOLD: f64 = 0.7;
@@ -218,7 +218,7 @@
                 self.targets
                     .refused(self.now, link, StartRefusal::Unhealthy);
             }
-            NotStarted::Full => self.forecast.note_returned(),
+            NotStarted::Full => self.forecast.note_rejected(),
             NotStarted::NoPayload => self.table.forget_payload(key.task.batch, link),
             NotStarted::Doubtful => self.targets.refused(self.now, link, StartRefusal::Doubtful),
             _ => {}
@@ -267,7 +267,7 @@
             return;
         }
         let step = &mut batch.steps[usize::from(key.task.step)];
-        let is_estimate_wrong = step.is_slow_everywhere(&agent, projected);
+        let is_estimate_wrong = step.record_slow_task(&agent, projected);
         if is_estimate_wrong && !self.targets.is_ejected(self.now, link) {
             return;
         }
@@ -288,7 +288,7 @@
             return false;
         };
         let spec = &batch.steps[usize::from(key.task.step)].spec;
-        let need = Need {
+        let need = TaskRequirements {
             size: spec.size,
             queue: &batch.queue,
             required_label: spec.required_label.as_deref(),
--- a/lib/src/batch_entry/callers.rs
+++ b/lib/src/batch_entry/callers.rs
@@ -8,7 +8,7 @@
 use super::BatchEntryCore;
 use crate::active_batch::{Batch, BatchState, BatchTimes, CloseReason, PlacementOrder};
 use crate::batch::{BatchSpec, Unsupported};
-use crate::batch_event::{EntryAction, Question, Refusal, Reply, Submission};
+use crate::batch_event::{BatchQuery, EntryAction, Refusal, Reply, Submission};
 use crate::events::EventCode;
 use crate::ids::RequestId;
 use crate::queue::Queue;
@@ -84,7 +84,7 @@
             host,
             path,
             spec,
-            patience,
+            caller_timeout,
             caller_request,
         } = submission;
         let queue = self.find_queue(&host, &path)?;
@@ -107,8 +107,8 @@
         let caller_return = self.options.timings.caller_retry_interval;
         let is_retry = self
             .retry_detector
-            .is_retry(&queue.name, patience, caller_return);
-        let times = self.batch_times(&spec, &queue, patience, is_retry);
+            .is_retry(&queue.name, caller_timeout, caller_return);
+        let times = self.batch_times(&spec, &queue, caller_timeout, is_retry);
         if self.table.get(spec.id).is_some() {
             return self.resubmit(&spec, request, times, &caller_request);
         }
@@ -123,7 +123,7 @@
                  patience_ms={} returning={is_retry} config={} targets={usable} held={}",
                 spec.id,
                 queue.name,
-                patience.as_millis(),
+                caller_timeout.as_millis(),
                 self.directory.config().version(),
                 self.table.len(),
             ),
@@ -145,7 +145,7 @@
         let Some(wait) = self.forecast.wait_for(self.now, tasks_ahead + own_tasks) else {
             return Ok(());
         };
-        let latest_start = times.in_time_until.min(times.caller_deadline);
+        let latest_start = times.latest_on_time_start.min(times.caller_deadline);
         let max_wait = latest_start.saturating_sub(self.now);
         if wait <= max_wait {
             return Ok(());
@@ -164,7 +164,7 @@
         let chance = self.rng.random_range(0.0..1.0);
         Reply::Refused {
             why: Refusal::Busy,
-            retry_after: Some(wait_forecast::return_after(pause, chance)),
+            retry_after: Some(wait_forecast::retry_after(pause, chance)),
         }
     }
 
@@ -183,7 +183,7 @@
             else {
                 continue;
             };
-            let left = batch.in_time_until.saturating_sub(self.now);
+            let left = batch.latest_on_time_start.saturating_sub(self.now);
             let own_tasks = batch.waiting_tasks();
             let wait = self.forecast.wait_for(self.now, own_tasks);
             if wait.is_some_and(|wait| wait > left) {
@@ -227,7 +227,7 @@
             format!("job={id:016x} request={caller_request} again=true"),
         );
         self.table.reopen(id, request, times);
-        self.directory.reopened(id);
+        self.directory.note_reopened(id);
         Ok(())
     }
 
@@ -235,14 +235,14 @@
         &self,
         spec: &BatchSpec,
         queue: &Queue,
-        patience: Duration,
+        caller_timeout: Duration,
         is_retry: bool,
     ) -> BatchTimes {
         let arrived = self.now;
         let critical_path = spec.critical_path();
         let objective = critical_path.mul_f64(queue.stretch) + queue.target_latency;
         let slack = objective.saturating_sub(critical_path.mul_f64(SLOWEST_HEALTHY_FACTOR));
-        let mut wait = self.backlog.allowance(arrived, slack);
+        let mut wait = self.backlog.max_wait(arrived, slack);
         if self.targets.usable(self.now) == 0 {
             wait = wait.max(MIN_WAIT_WITHOUT_TARGETS);
         }
@@ -252,15 +252,15 @@
             Duration::ZERO
         };
         // A batch that starts later can't be answered before the caller leaves.
-        let last_start = patience.saturating_sub(critical_path);
+        let last_start = caller_timeout.saturating_sub(critical_path);
         let left = objective.saturating_sub(age);
         let is_overdue = left.is_zero();
         BatchTimes {
             arrived,
             due: arrived + if is_overdue { objective } else { left },
             is_overdue,
-            caller_deadline: arrived + patience,
-            in_time_until: arrived + slack,
+            caller_deadline: arrived + caller_timeout,
+            latest_on_time_start: arrived + slack,
             placement_deadline: arrived + wait.min(last_start),
         }
     }
@@ -284,16 +284,15 @@
         }
     }
 
-    pub(super) fn answer_query(&mut self, question: &Question) {
-        let reply = match self.find_queue(&question.host, &question.path) {
+    pub(super) fn answer_query(&mut self, query: &BatchQuery) {
+        let reply = match self.find_queue(&query.host, &query.path) {
             Err(reply) => reply,
-            Ok(queue) => match question.batch {
+            Ok(queue) => match query.batch {
                 None => Reply::Pending(self.table.pending(&queue.name)),
                 Some(id) => self.batch_state_reply(id),
             },
         };
-        self.actions
-            .push(EntryAction::Reply(question.request, reply));
+        self.actions.push(EntryAction::Reply(query.request, reply));
     }
 
     pub(super) fn batch_state_reply(&self, id: BatchId) -> Reply {
@@ -304,11 +303,11 @@
         }
     }
 
-    pub(super) fn cancel(&mut self, question: &Question) {
-        let id = question.batch.filter(|id| self.table.get(*id).is_some());
+    pub(super) fn cancel(&mut self, query: &BatchQuery) {
+        let id = query.batch.filter(|id| self.table.get(*id).is_some());
         let Some(id) = id else {
             self.actions
-                .push(EntryAction::Reply(question.request, Reply::NoBatch));
+                .push(EntryAction::Reply(query.request, Reply::NoBatch));
             return;
         };
         self.log(
@@ -321,7 +320,7 @@
         }
         self.close(id, CloseReason::Cancelled);
         self.actions
-            .push(EntryAction::Reply(question.request, Reply::Cancelled));
+            .push(EntryAction::Reply(query.request, Reply::Cancelled));
     }
 
     /// Closes a batch: stops its open runs and starts no others.
@@ -414,7 +413,7 @@
                 } else {
                     self.close(id, CloseReason::Deadline);
                 }
-            } else if batch.in_time_until <= self.now && !batch.was_dispatched {
+            } else if batch.latest_on_time_start <= self.now && !batch.was_dispatched {
                 self.table.mark_overdue(id);
             }
         }
--- a/lib/src/batch_event.rs
+++ b/lib/src/batch_event.rs
@@ -50,14 +50,14 @@
     /// The submitted batch.
     pub spec: BatchSpec,
     /// How long the caller waits for an answer.
-    pub patience: Duration,
+    pub caller_timeout: Duration,
     /// The caller's id of its request, for the log; empty if it gave none.
     pub caller_request: Arc<str>,
 }
 
 /// A caller's query about a queue or a batch, or its request to cancel a batch.
 #[derive(Debug, Clone)]
-pub struct Question {
+pub struct BatchQuery {
     /// Request to answer.
     pub request: RequestId,
     /// Host named in the request.
@@ -78,9 +78,9 @@
     /// A caller's connection was closed.
     CallerGone(RequestId),
     /// A caller asks for the state of a batch or the number of pending batches.
-    Ask(Question),
+    Query(BatchQuery),
     /// A caller cancels a batch.
-    Cancel(Question),
+    Cancel(BatchQuery),
     /// The platform's store returned a configuration.
     Config(Arc<QueueTable>),
     /// The platform's store returned the evacuated halls.
@@ -182,7 +182,7 @@
 
 /// Gauges of an entry for its metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct EntryLevels {
+pub struct EntryGauges {
     /// Number of batches held.
     pub batches: u64,
     /// Number of targets that may get work.
--- a/lib/src/batch_placing.rs
+++ b/lib/src/batch_placing.rs
@@ -17,8 +17,8 @@
 use crate::ids::{HallName, NodeName, Now, SessionId};
 use crate::link_load::LinkLoad;
 use crate::run::{BatchId, RunKey, RunNumber, TaskKey};
-use crate::run_message::START_BYTES;
-use crate::target_registry::{Need, TargetRegistry, TargetView};
+use crate::run_message::START_ORDER_BYTES;
+use crate::target_registry::{TargetRegistry, TargetView, TaskRequirements};
 
 /// Shortest estimate by which the payload's cost is divided.
 const MIN_RUN_TIME: Duration = Duration::from_millis(10);
@@ -155,7 +155,7 @@
         };
         let is_new = batch.payload_sent_to.insert(link);
         let payload = if is_new { batch.payload.len() } else { 0 };
-        self.link_load.sent(self.now, START_BYTES + payload);
+        self.link_load.sent(self.now, START_ORDER_BYTES + payload);
     }
 
     /// Returns the cost of sending the payload to one more target, as a multiple of a task's
@@ -210,7 +210,7 @@
     ) -> Option<SessionId> {
         let batch = self.table.get(id)?;
         let spec = &batch.steps[step].spec;
-        let need = Need {
+        let need = TaskRequirements {
             size: spec.size,
             queue: &batch.queue,
             required_label: spec.required_label.as_deref(),
--- a/lib/src/batch_table.rs
+++ b/lib/src/batch_table.rs
@@ -66,7 +66,7 @@
             self.by_request.insert(request, id);
         }
         self.set_waiting(batch.placement_order(), id, batch.waiting_tasks());
-        self.deadlines.insert((batch.in_time_until, id));
+        self.deadlines.insert((batch.latest_on_time_start, id));
         self.deadlines.insert((batch.placement_deadline, id));
         self.deadlines.insert((batch.caller_deadline, id));
         self.batches.insert(id, batch);
@@ -133,7 +133,7 @@
             self.by_request.remove(&request);
         }
         self.set_waiting(batch.placement_order(), id, 0);
-        self.deadlines.remove(&(batch.in_time_until, id));
+        self.deadlines.remove(&(batch.latest_on_time_start, id));
         self.deadlines.remove(&(batch.placement_deadline, id));
         self.deadlines.remove(&(batch.caller_deadline, id));
         for (key, agent) in batch.open_runs(id, false) {
@@ -164,7 +164,7 @@
         let Some(batch) = self.batches.get_mut(&id) else {
             return;
         };
-        self.deadlines.remove(&(batch.in_time_until, id));
+        self.deadlines.remove(&(batch.latest_on_time_start, id));
         self.deadlines.remove(&(batch.placement_deadline, id));
         self.deadlines.remove(&(batch.caller_deadline, id));
         batch.request = Some(request);
@@ -173,10 +173,10 @@
         batch.due = times.due;
         batch.is_overdue = times.is_overdue;
         batch.caller_deadline = times.caller_deadline;
-        batch.in_time_until = times.in_time_until;
+        batch.latest_on_time_start = times.latest_on_time_start;
         batch.placement_deadline = times.placement_deadline;
         self.by_request.insert(request, id);
-        self.deadlines.insert((times.in_time_until, id));
+        self.deadlines.insert((times.latest_on_time_start, id));
         self.deadlines.insert((times.placement_deadline, id));
         self.deadlines.insert((times.caller_deadline, id));
         self.update_waiting(id);
--- a/lib/src/capacity_shares.rs
+++ b/lib/src/capacity_shares.rs
@@ -30,7 +30,7 @@
     /// All free resources.
     pub free: Resources,
     /// Resources that a typical task takes: one slot.
-    pub place: Resources,
+    pub typical_size: Resources,
 }
 
 /// Round-robin state of an entry.
@@ -51,12 +51,12 @@
 
 impl CapacityShares {
     /// Drops the state of an entry whose link is gone.
-    pub fn leave(&mut self, link: SessionId) {
+    pub fn remove(&mut self, link: SessionId) {
         self.turns.remove(&link);
     }
 
     /// Clears the reservation of an entry that has sent an order.
-    pub fn used(&mut self, link: SessionId) {
+    pub fn clear_reservation(&mut self, link: SessionId) {
         if let Some(turn) = self.turns.get_mut(&link) {
             turn.reserved_until = None;
         }
@@ -76,7 +76,7 @@
         demands: &[Demand],
     ) -> Vec<Resources> {
         let waiting_entries = demands.iter().filter(|d| d.waiting > 0).count() as u64;
-        let slots = capacity.place.times_in(capacity.free);
+        let slots = capacity.typical_size.fit_count(capacity.free);
         if waiting_entries <= 1 {
             self.turns.clear();
             return vec![capacity.free; demands.len()];
@@ -90,7 +90,7 @@
         self.reserve_slots(now, slots, demands);
         let reserved = self.reserved();
         // An entry with a reservation may use all that the other reservations leave.
-        let reserved_by_others = capacity.place.times(reserved.saturating_sub(1));
+        let reserved_by_others = capacity.typical_size.times(reserved.saturating_sub(1));
         let share = |d: &Demand| {
             let has_reservation = self.has_reservation(d.link);
             if has_reservation {
--- a/lib/src/entry_directory.rs
+++ b/lib/src/entry_directory.rs
@@ -121,7 +121,7 @@
 
     /// Number of entries that give work to the same target, including this one. In a large fleet,
     /// the number of links that an agent keeps.
-    pub fn entries_a_target(&self) -> usize {
+    pub fn entries_per_target(&self) -> usize {
         if self.is_large_fleet() {
             PREFERRED_COUNT
         } else {
@@ -303,7 +303,7 @@
     /// the notices while it had no link.
     fn send_closing_notices(&mut self, now: Now, link: SessionId) {
         let here = self.own_closings.iter().map(|id| self.closing_notice(*id));
-        let closing: Vec<ClosingBatch> = here.chain(self.peer_closings.open(now)).collect();
+        let closing: Vec<ClosingBatch> = here.chain(self.peer_closings.open_notices(now)).collect();
         for closing in closing {
             self.peers.tell(now, link, PeerNews::Closing(closing));
         }
@@ -311,7 +311,11 @@
 
     fn note_closing(&mut self, now: Now, link: SessionId, closing: ClosingBatch) {
         let is_own = closing.entry == self.options.incarnation;
-        if !is_own && self.peer_closings.note(now, closing, self.closing_bound) {
+        if !is_own
+            && self
+                .peer_closings
+                .note_closing(now, closing, self.closing_bound)
+        {
             let news = PeerNews::Closing(closing);
             self.peers.forward(now, link, &news);
         }
@@ -319,7 +323,10 @@
 
     fn note_closed(&mut self, now: Now, link: SessionId, closing: ClosingBatch) -> bool {
         let is_own = closing.entry == self.options.incarnation;
-        let is_news = !is_own && self.peer_closings.over(now, closing, self.closing_bound);
+        let is_news = !is_own
+            && self
+                .peer_closings
+                .note_closed(now, closing, self.closing_bound);
         if is_news {
             self.peers.tell_closed(now, closing, Some(link));
         }
@@ -410,7 +417,7 @@
 
     /// Forgets that this entry was closing a batch, because its caller came back. The other entries
     /// are not told; they stop waiting when the notice expires.
-    pub fn reopened(&mut self, id: BatchId) {
+    pub fn note_reopened(&mut self, id: BatchId) {
         self.own_closings.remove(&id);
     }
 
--- a/lib/src/entry_leases.rs
+++ b/lib/src/entry_leases.rs
@@ -102,7 +102,7 @@
     /// Removes a closed link. Its entry's lease is cut to the reconnect grace.
     pub fn closed(&mut self, now: Now, link: SessionId) -> Option<EntryLink> {
         let gone = self.links.remove(&link)?;
-        self.shares.leave(link);
+        self.shares.remove(link);
         if let Some(until) = gone.entry.and_then(|e| self.until.get_mut(&e)) {
             *until = (*until).min(now + self.timings.reconnect_grace);
         }
@@ -182,7 +182,7 @@
     pub fn record_starts(&mut self, link: SessionId, starts: u64) {
         if let Some(found) = self.links.get_mut(&link) {
             found.starts_seen += starts;
-            self.shares.used(link);
+            self.shares.clear_reservation(link);
         }
     }
 
--- a/lib/src/entry_node.rs
+++ b/lib/src/entry_node.rs
@@ -148,12 +148,12 @@
 
     /// Renders the metrics page.
     pub fn metrics(&self) -> String {
-        let levels = self.core.borrow().levels();
-        self.figures.level("batches", levels.batches);
-        self.figures.level("targets", levels.targets);
-        self.figures.level("config_version", levels.config_version);
+        let gauges = self.core.borrow().gauges();
+        self.figures.level("batches", gauges.batches);
+        self.figures.level("targets", gauges.targets);
+        self.figures.level("config_version", gauges.config_version);
         self.figures
-            .level("evacuated_halls", levels.evacuated_halls);
+            .level("evacuated_halls", gauges.evacuated_halls);
         let received = self.links.bytes_received();
         self.figures.level("link_bytes_received", received);
         self.figures.link_bytes(&self.links.bytes_sent());
--- a/lib/src/peer_closings.rs
+++ b/lib/src/peer_closings.rs
@@ -34,7 +34,7 @@
 impl PeerClosings {
     /// Records that another entry is closing a batch, which takes at most `bound`. Returns whether
     /// the notice is new.
-    pub fn note(&mut self, now: Now, closing: ClosingBatch, bound: Duration) -> bool {
+    pub fn note_closing(&mut self, now: Now, closing: ClosingBatch, bound: Duration) -> bool {
         let until = now + bound;
         let notice = Notice {
             until,
@@ -45,7 +45,7 @@
 
     /// Records that the batch has no open runs at that entry any more. An unknown notice is kept
     /// for `bound`. Returns whether this ends a notice that was still open.
-    pub fn over(&mut self, now: Now, closing: ClosingBatch, bound: Duration) -> bool {
+    pub fn note_closed(&mut self, now: Now, closing: ClosingBatch, bound: Duration) -> bool {
         if let Some(notice) = self.notices.get_mut(&closing) {
             return !std::mem::replace(&mut notice.is_over, true);
         }
@@ -74,7 +74,7 @@
     }
 
     /// Returns the notices that are valid and not over, for sending to a new neighbour.
-    pub fn open(&self, now: Now) -> impl Iterator<Item = ClosingBatch> {
+    pub fn open_notices(&self, now: Now) -> impl Iterator<Item = ClosingBatch> {
         let notices = self.notices.iter();
         let open = notices.filter(move |(_, notice)| !notice.is_over && notice.until > now);
         open.map(|(closing, _)| *closing)
--- a/lib/src/resources.rs
+++ b/lib/src/resources.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns how many times this fits in `capacity`; `u64::MAX` if all its amounts are 0.
-    pub fn times_in(self, capacity: Self) -> u64 {
+    pub fn fit_count(self, capacity: Self) -> u64 {
         let kinds = [
             (self.cpu_millis, capacity.cpu_millis),
             (self.memory_mib, capacity.memory_mib),
--- a/lib/src/run_agent.rs
+++ b/lib/src/run_agent.rs
@@ -25,7 +25,7 @@
 use crate::preferred_entries::{LinkStep, PREFERRED_COUNT, PreferredEntries};
 use crate::resources::Resources;
 use crate::run::{RunEnd, RunKey};
-use crate::run_event::{AgentAction, AgentEvent, AgentLevels, AgentOptions};
+use crate::run_event::{AgentAction, AgentEvent, AgentGauges, AgentOptions};
 use crate::run_message::{
     AgentIntro, AgentMillis, AgentNews, AgentPacket, EntryPacket, Order, Welcome,
 };
@@ -163,8 +163,8 @@
     }
 
     /// Returns the gauges for the metrics page.
-    pub fn levels(&self) -> AgentLevels {
-        AgentLevels {
+    pub fn gauges(&self) -> AgentGauges {
+        AgentGauges {
             runs: self.runs.len() as u64,
             entries: self.entry_links.len() as u64,
         }
@@ -580,7 +580,7 @@
         let clock = self.now.as_millis() as AgentMillis;
         let free_capacity = FreeCapacity {
             free: self.free(),
-            place: self.runs.typical_size(),
+            typical_size: self.runs.typical_size(),
         };
         self.entry_links.share_capacity(self.now, free_capacity);
         for due in self.entry_links.take_due(self.now) {
@@ -588,7 +588,7 @@
                 clock,
                 free: due.free,
                 starts_seen: due.starts_seen,
-                health: self.health.word(),
+                health: self.health.report(),
                 news: due.news,
             };
             self.actions.push(AgentAction::Send(due.link, packet));
--- a/lib/src/run_event.rs
+++ b/lib/src/run_event.rs
@@ -235,7 +235,7 @@
 
 /// Gauges of an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AgentLevels {
+pub struct AgentGauges {
     /// Runs in the run table.
     pub runs: u64,
     /// Links to entries.
--- a/lib/src/run_message.rs
+++ b/lib/src/run_message.rs
@@ -41,18 +41,20 @@
 /// Approximate size of an order, a piece of news or an item of their lists, in bytes.
 const SMALL_ITEM_BYTES: usize = 40;
 /// Approximate size of a start order without its payload, including its packet, in bytes.
-pub const START_BYTES: usize = 170;
+pub const START_ORDER_BYTES: usize = 170;
 /// Approximate size of one queue in a configuration, in bytes.
 const QUEUE_BYTES: usize = 180;
 
 impl Packet {
     /// Approximate size on a link without the start orders, in bytes. Some lists of entries and
     /// halls count as one item.
-    pub fn rough_bytes(&self) -> usize {
+    pub fn approximate_bytes(&self) -> usize {
         let content = match self {
             Self::FromAgent(packet) => packet.news.len() * SMALL_ITEM_BYTES,
-            Self::FromEntry(packet) => packet.orders.iter().map(Order::rough_bytes).sum(),
-            Self::BetweenEntries(packet) => packet.news.iter().map(PeerNews::rough_bytes).sum(),
+            Self::FromEntry(packet) => packet.orders.iter().map(Order::approximate_bytes).sum(),
+            Self::BetweenEntries(packet) => {
+                packet.news.iter().map(PeerNews::approximate_bytes).sum()
+            }
         };
         PACKET_OVERHEAD_BYTES + content
     }
@@ -218,7 +220,7 @@
 }
 
 impl Order {
-    fn rough_bytes(&self) -> usize {
+    fn approximate_bytes(&self) -> usize {
         match self {
             Self::Start(_) => 0,
             Self::Stop(runs) => SMALL_ITEM_BYTES + runs.len() * SMALL_ITEM_BYTES,
@@ -339,7 +341,7 @@
 }
 
 impl PeerNews {
-    fn rough_bytes(&self) -> usize {
+    fn approximate_bytes(&self) -> usize {
         match self {
             Self::Config(table) => SMALL_ITEM_BYTES + table.queues.len() * QUEUE_BYTES,
             _ => SMALL_ITEM_BYTES,
--- a/lib/src/target_health.rs
+++ b/lib/src/target_health.rs
@@ -137,7 +137,7 @@
     }
 
     /// The report for entries.
-    pub fn word(&self) -> HealthReport {
+    pub fn report(&self) -> HealthReport {
         HealthReport {
             pace_percent: (self.slowdown * 100.0).round() as u16,
             failed_percent: (self.failures * 100.0).round() as u8,
--- a/lib/src/target_registry.rs
+++ b/lib/src/target_registry.rs
@@ -99,7 +99,7 @@
 
 /// Requirements and preferences of a task for its target.
 #[derive(Debug, Clone, Copy)]
-pub struct Need<'a> {
+pub struct TaskRequirements<'a> {
     /// Resources that the task takes.
     pub size: Resources,
     /// Queue of the task.
@@ -159,7 +159,7 @@
         age.div_duration_f64(STALE_AFTER).min(1.0)
     }
 
-    fn can_run(&self, need: &Need<'_>) -> bool {
+    fn can_run(&self, need: &TaskRequirements<'_>) -> bool {
         let Some(info) = &self.info else {
             return false;
         };
@@ -188,7 +188,7 @@
         !self.is_leaving && !info.leaving && self.heard + AGENT_SILENCE_LIMIT > now
     }
 
-    fn cost(&self, need: &Need<'_>, hall: &HallName) -> f64 {
+    fn cost(&self, need: &TaskRequirements<'_>, hall: &HallName) -> f64 {
         let Some(info) = &self.info else {
             return f64::MAX;
         };
@@ -381,7 +381,7 @@
     pub fn choose(
         &self,
         now: Now,
-        need: &Need<'_>,
+        need: &TaskRequirements<'_>,
         hall: &HallName,
         is_excluded: impl Fn(&TargetView) -> bool,
         rng: &mut ChaCha8Rng,
--- a/lib/src/wait_forecast.rs
+++ b/lib/src/wait_forecast.rs
@@ -51,7 +51,7 @@
     }
 
     /// Records that a full target rejected a task.
-    pub fn note_returned(&mut self) {
+    pub fn note_rejected(&mut self) {
         if let Some((_, tasks)) = self.placed.iter_mut().rev().find(|(_, t)| *t > 0) {
             *tasks -= 1;
             self.placed_in_window -= 1;
@@ -84,7 +84,7 @@
 
 /// Returns when a caller should retry if capacity is expected after `pause`; `chance` is a random
 /// number between 0 and 1.
-pub fn return_after(pause: Duration, chance: f64) -> Duration {
+pub fn retry_after(pause: Duration, chance: f64) -> Duration {
     let (min, max) = RETRY_BOUNDS;
     let pause = pause.clamp(min, max);
     let jittered = pause.mul_f64(1.0 + RETRY_JITTER * chance);
--- a/lib/tests/test_batch_entry.rs
+++ b/lib/tests/test_batch_entry.rs
@@ -88,7 +88,7 @@
             steps: vec![step],
             unsupported: None,
         },
-        patience: ms(2_000),
+        caller_timeout: ms(2_000),
         caller_request: "".into(),
     })
 }
@@ -109,9 +109,9 @@
 fn test_handle_batch_before_the_first_configuration_waits_for_it() {
     let mut entry = entry();
     assert_eq!(replies(&entry.handle(ms(1), submission(5))), []);
-    assert_eq!(entry.levels().batches, 0);
+    assert_eq!(entry.gauges().batches, 0);
     assert_eq!(replies(&entry.handle(ms(20), config())), []);
-    assert_eq!(entry.levels().batches, 1, "the batch is admitted");
+    assert_eq!(entry.gauges().batches, 1, "the batch is admitted");
 }
 
 #[test]
@@ -135,7 +135,7 @@
     let answered = replies(&entry.handle(ms(2), submission(5)));
     let expected = Refusal::Unsupported(Unsupported::Advice);
     assert!(is_refused(&answered[0].1, expected), "{answered:?}");
-    assert_eq!(entry.levels().batches, 0);
+    assert_eq!(entry.gauges().batches, 0);
 }
 
 #[test]
@@ -175,7 +175,7 @@
     entry.handle(ms(1), submission(5));
     entry.handle(ms(2), EntryEvent::CallerGone(5));
     assert_eq!(replies(&entry.handle(ms(20), config())), []);
-    assert_eq!(entry.levels().batches, 0);
+    assert_eq!(entry.gauges().batches, 0);
 }
 
 /// Connects an agent in `hall` on `link`, with a target of the queue's service.
@@ -266,8 +266,8 @@
         assert!(ordered(&actions).iter().all(|link| *link == 3));
     }
     assert!(entry.is_ready());
-    assert_eq!(entry.levels().targets, 1);
-    assert_eq!(entry.levels().evacuated_halls, 1);
+    assert_eq!(entry.gauges().targets, 1);
+    assert_eq!(entry.gauges().evacuated_halls, 1);
 }
 
 #[test]
@@ -345,10 +345,10 @@
         ms(6),
         from_peer(PeerNews::Evacuations(state(8, &["maadi"]))),
     );
-    assert_eq!(entry.levels().evacuated_halls, 1);
+    assert_eq!(entry.gauges().evacuated_halls, 1);
     // A stale answer from the store.
     entry.handle(ms(7), evacuated(7, &[]));
-    assert_eq!(entry.levels().evacuated_halls, 1);
+    assert_eq!(entry.gauges().evacuated_halls, 1);
     // A new state is sent to peers, except to the peer that sent it.
     let actions = entry.handle(ms(8), evacuated(9, &[]));
     let is_forwarded = actions.iter().any(|a| match a {
@@ -459,7 +459,7 @@
 }
 
 #[test]
-fn test_is_slow_everywhere_replaces_a_wrong_estimate() {
+fn test_record_slow_task_replaces_a_wrong_estimate() {
     let EntryEvent::Submit(submission) = batch_of_tasks(5, 2) else {
         panic!("a submission");
     };
@@ -471,7 +471,7 @@
         due: ms(100),
         is_overdue: false,
         caller_deadline: ms(2_000),
-        in_time_until: ms(50),
+        latest_on_time_start: ms(50),
         placement_deadline: ms(50),
     };
     let queue = table.queues[0].clone();
@@ -479,9 +479,9 @@
     let step = &mut batch.steps[0];
     let (first, second) = ("agent-1".into(), "agent-2".into());
     // Repeated reports from one target don't count: the target itself may be slow.
-    assert!(!step.is_slow_everywhere(&first, ms(900)));
-    assert!(!step.is_slow_everywhere(&first, ms(800)));
+    assert!(!step.record_slow_task(&first, ms(900)));
+    assert!(!step.record_slow_task(&first, ms(800)));
     assert_eq!(step.spec.estimate, ms(100));
-    assert!(step.is_slow_everywhere(&second, ms(850)));
+    assert!(step.record_slow_task(&second, ms(850)));
     assert_eq!(step.spec.estimate, ms(800));
 }
--- a/lib/tests/test_capacity_shares.rs
+++ b/lib/tests/test_capacity_shares.rs
@@ -20,7 +20,7 @@
 fn free_capacity(tasks: u64) -> FreeCapacity {
     FreeCapacity {
         free: TASK_SIZE.times(tasks),
-        place: TASK_SIZE,
+        typical_size: TASK_SIZE,
     }
 }
 
@@ -36,7 +36,7 @@
 
 /// Number of tasks that fit in each entry's share.
 fn tasks_in(shares: &[Resources]) -> Vec<u64> {
-    shares.iter().map(|s| TASK_SIZE.times_in(*s)).collect()
+    shares.iter().map(|s| TASK_SIZE.fit_count(*s)).collect()
 }
 
 #[test]
@@ -84,7 +84,7 @@
     let mut shares = CapacityShares::default();
     let waiting = demands(&[3, 3]);
     shares.share(ms(0), free_capacity(1), &waiting);
-    shares.used(1);
+    shares.clear_reservation(1);
     assert_eq!(
         tasks_in(&shares.share(ms(1), free_capacity(0), &waiting)),
         [0, 0]
@@ -105,7 +105,7 @@
         let found = tasks_in(&shares.share(ms(step), free_capacity(1), &waiting));
         let first = usize::from(found[0] == 0);
         grants[first] += 1;
-        shares.used(first as u64 + 1);
+        shares.clear_reservation(first as u64 + 1);
     }
     assert_eq!(grants, [10, 30]);
 }
@@ -124,7 +124,7 @@
 fn test_share_entry_that_left_holds_no_reservation() {
     let mut shares = CapacityShares::default();
     shares.share(ms(0), free_capacity(1), &demands(&[5, 1, 1]));
-    shares.leave(1);
+    shares.remove(1);
     let waiting: Vec<Demand> = demands(&[5, 1, 1]).split_off(1);
     assert_eq!(
         tasks_in(&shares.share(ms(1), free_capacity(1), &waiting)),
--- a/lib/tests/test_retry_detector.rs
+++ b/lib/tests/test_retry_detector.rs
@@ -65,13 +65,13 @@
 }
 
 #[test]
-fn test_allowance_shrinks_only_with_a_lasting_backlog() {
+fn test_max_wait_shrinks_only_with_a_lasting_backlog() {
     let mut monitor = BacklogMonitor::default();
     let slack = ms(100);
     monitor.note(ms(1_000), true);
-    assert_eq!(monitor.allowance(ms(1_200), slack), slack);
-    assert_eq!(monitor.allowance(ms(1_400), slack), slack / 2);
+    assert_eq!(monitor.max_wait(ms(1_200), slack), slack);
+    assert_eq!(monitor.max_wait(ms(1_400), slack), slack / 2);
     monitor.note(ms(1_401), false);
     monitor.note(ms(1_402), true);
-    assert_eq!(monitor.allowance(ms(1_500), slack), slack);
+    assert_eq!(monitor.max_wait(ms(1_500), slack), slack);
 }
--- a/lib/tests/test_run_agent/crashes.rs
+++ b/lib/tests/test_run_agent/crashes.rs
@@ -14,7 +14,7 @@
         };
         agent.handle(ms(12), started);
     }
-    assert_eq!(agent.levels().runs, u64::from(count));
+    assert_eq!(agent.gauges().runs, u64::from(count));
     agent
 }
 
--- a/lib/tests/test_run_agent/incarnations.rs
+++ b/lib/tests/test_run_agent/incarnations.rs
@@ -42,7 +42,7 @@
         answer: StartAnswer::Started { clock: 1_010 },
     };
     agent.handle(ms(12), started);
-    assert_eq!(agent.levels().runs, 1);
+    assert_eq!(agent.gauges().runs, 1);
     agent
 }
 
@@ -51,14 +51,14 @@
     let mut agent = agent_with_run();
     // The report arrives after its sender has crashed and the present incarnation has reported.
     let actions = agent.handle(ms(20), report("life-0", false, 9));
-    assert_eq!(agent.levels().runs, 1, "a report proves nothing");
+    assert_eq!(agent.gauges().runs, 1, "a report proves nothing");
     let (number, target_name) = incarnation_checks(&actions)[0];
     assert_eq!(target_name, "life-0");
     agent.handle(
         ms(21),
         incarnation_checked(number, IncarnationAnswer::OtherIncarnation),
     );
-    assert_eq!(agent.levels().runs, 1);
+    assert_eq!(agent.gauges().runs, 1);
     let actions = agent.handle(ms(22), packet(60_000, vec![start(1, 5_000)]));
     assert_eq!(starts(&actions), 1, "the living incarnation gets work");
     // An incarnation that is known to be dead is not checked again.
@@ -70,13 +70,13 @@
 fn test_handle_answer_of_a_new_incarnation_ends_the_one_before() {
     let mut agent = agent_with_run();
     let actions = agent.handle(ms(20), report("life-2", false, 1));
-    assert_eq!(agent.levels().runs, 1, "a report proves nothing");
+    assert_eq!(agent.gauges().runs, 1, "a report proves nothing");
     let (number, _) = incarnation_checks(&actions)[0];
     agent.handle(
         ms(21),
         incarnation_checked(number, IncarnationAnswer::Alive(None)),
     );
-    assert_eq!(agent.levels().runs, 0);
+    assert_eq!(agent.gauges().runs, 0);
 }
 
 #[test]
@@ -177,7 +177,7 @@
     };
     agent.handle(ms(30), AgentEvent::RenewalAnswered { number, answer });
     assert_eq!(
-        agent.levels().runs,
+        agent.gauges().runs,
         0,
         "the present incarnation's end counts"
     );
--- a/lib/tests/test_run_agent/leases.rs
+++ b/lib/tests/test_run_agent/leases.rs
@@ -31,7 +31,7 @@
             actions.extend(agent.handle(now, event));
         }
     }
-    assert_eq!(agent.levels().runs, 0, "the run's lease has lapsed");
+    assert_eq!(agent.gauges().runs, 0, "the run's lease has lapsed");
     // The agent keeps asking the target, which gets work again once it has answered.
     let mut asked = renewals(&actions);
     while asked.is_empty() && now < ms(4_000) {
@@ -88,7 +88,7 @@
     };
     let number = lost.number;
     agent.handle(now + ms(1), AgentEvent::RenewalAnswered { number, answer });
-    assert_eq!(agent.levels().runs, 0);
+    assert_eq!(agent.gauges().runs, 0);
 }
 
 #[test]
@@ -201,7 +201,7 @@
     let number = renewals(&actions)[0];
     let answer = running(&[key(0)]);
     let actions = agent.handle(ms(2), AgentEvent::RenewalAnswered { number, answer });
-    assert_eq!(agent.levels().runs, 1, "the run is adopted");
+    assert_eq!(agent.gauges().runs, 1, "the run is adopted");
     (agent, actions)
 }
 
--- a/lib/tests/test_run_agent/room.rs
+++ b/lib/tests/test_run_agent/room.rs
@@ -38,7 +38,7 @@
     assert_eq!(stops(&actions), 0, "runs go on");
     let actions = agent.handle(ms(21), packet(60_000, vec![start(4, 5_000)]));
     assert_eq!(refusal(&actions), Some(NotStarted::Full));
-    assert_eq!(agent.levels().runs, 4);
+    assert_eq!(agent.gauges().runs, 4);
 }
 
 #[test]
--- a/lib/tests/test_run_agent/starts.rs
+++ b/lib/tests/test_run_agent/starts.rs
@@ -107,7 +107,7 @@
     };
     let settled = agent.handle(now + ms(2), AgentEvent::RenewalAnswered { number, answer });
     assert_eq!(starts(&settled), 0, "it runs");
-    assert_eq!(agent.levels().runs, 1);
+    assert_eq!(agent.gauges().runs, 1);
 }
 
 #[test]
@@ -126,7 +126,7 @@
     };
     let actions = agent.handle(ms(401), answered);
     assert!(!actions.iter().any(is_fence), "{actions:?}");
-    assert_eq!(agent.levels().runs, 1);
+    assert_eq!(agent.gauges().runs, 1);
 }
 
 /// A start order without a payload, which relies on one sent earlier on the link.
--- a/lib/tests/test_run_agent/suspension.rs
+++ b/lib/tests/test_run_agent/suspension.rs
@@ -27,12 +27,12 @@
     agent.handle(ms(12), started);
     agent.handle(ms(3_012), AgentEvent::Resumed(ms(3_000)));
     assert_eq!(
-        agent.levels().runs,
+        agent.gauges().runs,
         1,
         "the target's clock did not count it"
     );
     let mut now = ms(3_012);
-    while agent.levels().runs > 0 && now < ms(8_000) {
+    while agent.gauges().runs > 0 && now < ms(8_000) {
         now += ms(5);
         agent.handle(now, AgentEvent::Wake);
     }
--- a/lib/tests/test_target_registry.rs
+++ b/lib/tests/test_target_registry.rs
@@ -13,7 +13,9 @@
 use trestleknot_lib::run_message::TargetInfo;
 use trestleknot_lib::target_health::HealthReport;
 use trestleknot_lib::target_incarnation::TargetIncarnation;
-use trestleknot_lib::target_registry::{EjectionChange, LoadReport, Need, TargetRegistry};
+use trestleknot_lib::target_registry::{
+    EjectionChange, LoadReport, TargetRegistry, TaskRequirements,
+};
 
 const FAILING: u64 = 1;
 const HEALTHY: u64 = 2;
@@ -97,7 +99,7 @@
     for step in 0..600 {
         let now = ms(10 + 10 * step);
         registry.heard(now, FAILING, load_report(failing()));
-        let need = Need {
+        let need = TaskRequirements {
             size: TASK,
             queue: &queue,
             required_label: None,
@@ -175,7 +177,7 @@
     let hall: HallName = "hall".into();
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     for _ in 0..50 {
-        let need = Need {
+        let need = TaskRequirements {
             size: TASK,
             queue: &queue,
             required_label: None,
--- a/lib/tests/test_wait_forecast.rs
+++ b/lib/tests/test_wait_forecast.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use trestleknot_lib::ids::Now;
-use trestleknot_lib::wait_forecast::{WINDOW, WaitForecast, return_after};
+use trestleknot_lib::wait_forecast::{WINDOW, WaitForecast, retry_after};
 
 const fn ms(millis: u64) -> Now {
     Duration::from_millis(millis)
@@ -41,7 +41,7 @@
 fn test_wait_for_returned_orders_do_not_count() {
     let (now, mut forecast) = backlogged();
     for _ in 0..5 {
-        forecast.note_returned();
+        forecast.note_rejected();
     }
     // 20 of 25 tasks were placed.
     assert_eq!(forecast.wait_for(now, 8), Some(ms(100)));
@@ -64,9 +64,9 @@
 }
 
 #[test]
-fn test_return_after_is_spread_and_bounded() {
-    assert_eq!(return_after(ms(400), 0.0), ms(400));
-    assert_eq!(return_after(ms(400), 1.0), ms(800));
-    assert_eq!(return_after(ms(1), 0.0), ms(100));
-    assert_eq!(return_after(ms(60_000), 0.5), ms(3_000));
+fn test_retry_after_is_spread_and_bounded() {
+    assert_eq!(retry_after(ms(400), 0.0), ms(400));
+    assert_eq!(retry_after(ms(400), 1.0), ms(800));
+    assert_eq!(retry_after(ms(1), 0.0), ms(100));
+    assert_eq!(retry_after(ms(60_000), 0.5), ms(3_000));
 }
--- a/lib/testutils/src/bin/soak.rs
+++ b/lib/testutils/src/bin/soak.rs
@@ -424,7 +424,7 @@
         let capacity = if record.is_late {
             TASKS_PER_TARGET
         } else {
-            process_fleet::TASK_SIZE.times_in(record.room) as i64
+            process_fleet::TASK_SIZE.fit_count(record.room) as i64
         };
         let changes = by_target.entry(&record.target).or_default();
         changes.push((record.from, 1, capacity));
--- a/lib/testutils/src/run_fleet.rs
+++ b/lib/testutils/src/run_fleet.rs
@@ -262,7 +262,7 @@
     /// Configuration versions in force at running entries.
     pub fn config_versions(&self) -> Vec<u64> {
         let alive = self.entries.iter().filter_map(|e| e.core.as_ref());
-        alive.map(|core| core.levels().config_version).collect()
+        alive.map(|core| core.gauges().config_version).collect()
     }
 
     /// Schedules a fault.
--- a/lib/testutils/src/run_fleet/callers.rs
+++ b/lib/testutils/src/run_fleet/callers.rs
@@ -5,7 +5,7 @@
 use rand::{Rng as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use trestleknot_lib::batch::{BatchSpec, StepSpec};
-use trestleknot_lib::batch_event::{EntryEvent, Question, Reply, Submission};
+use trestleknot_lib::batch_event::{BatchQuery, EntryEvent, Reply, Submission};
 use trestleknot_lib::ids::{Now, RequestId};
 use trestleknot_lib::resources::Resources;
 use trestleknot_lib::run::BatchId;
@@ -145,7 +145,7 @@
             host: queue.host.clone(),
             path: format!("{}{id:016x}", queue.path_prefix),
             spec,
-            patience: time_left,
+            caller_timeout: time_left,
             caller_request: "".into(),
         };
         if self.stalled_until(Node::Entry(entry)) > self.now {
@@ -171,14 +171,14 @@
         };
         caller.cancelled = Some(self.now);
         let queue = &self.config.queues[caller.queue];
-        let question = Question {
+        let query = BatchQuery {
             request: self.next_request,
             host: queue.host.clone(),
             path: format!("{}{id:016x}", queue.path_prefix),
             batch: Some(id),
         };
         self.next_request += 1;
-        self.tell_entry(entry, EntryEvent::Cancel(question));
+        self.tell_entry(entry, EntryEvent::Cancel(query));
     }
 
     pub(super) fn reply_arrived(&mut self, entry: usize, request: RequestId, reply: Reply) {
