--- a/cli/src/daemons.rs
+++ b/cli/src/daemons.rs
@@ -111,7 +111,7 @@
     let slots = *args.get_one::<u32>("slots").expect("has a default") as usize;
     let starts = StartRecord::default();
     let mut services = vec![
-        Service::Log(MemoryLog::keeping(LOG_CAPACITY)),
+        Service::Log(MemoryLog::with_retention(LOG_CAPACITY)),
         Service::VmList(MemoryVmList::default()),
     ];
     let new_target = || Service::Target(MemoryTarget::new(slots, starts.clone()));
--- a/cli/src/fleet_status.rs
+++ b/cli/src/fleet_status.rs
@@ -235,6 +235,6 @@
     for line in &timeline.lines {
         anstream::println!("{:.3} {} {}", line.at, line.process, line.text);
     }
-    anstream::println!("{id}: {}", timeline.verdict);
+    anstream::println!("{id}: {}", timeline.outcome);
     Ok(ExitCode::SUCCESS)
 }
--- a/cli/src/log_summary.rs
+++ b/cli/src/log_summary.rs
@@ -25,7 +25,10 @@
     }
     anstream::println!("slow runs moved: {}", summary.moved);
     anstream::println!("waited before an order: {}", quantiles(&summary.waited));
-    anstream::println!("age of what was known: {}", quantiles(&summary.known_for));
+    anstream::println!(
+        "age of what was known: {}",
+        quantiles(&summary.load_report_age)
+    );
     if summary.dropped_lines > 0 {
         let lines = summary.dropped_lines;
         anstream::println!("{lines} lines were dropped: the figures above are too low");
--- a/cli/src/operators.rs
+++ b/cli/src/operators.rs
@@ -62,7 +62,7 @@
         text: document.canonical()?.into(),
         nonce: rand::random(),
         author: text_arg(args, "author").to_owned(),
-        patience: Duration::from_millis(patience),
+        timeout: Duration::from_millis(patience),
     };
     let url = text_arg(args, "log-url").to_owned();
     let outcome = block_on(async move {
--- a/cli/src/platform_daemons.rs
+++ b/cli/src/platform_daemons.rs
@@ -102,7 +102,7 @@
 /// Waits until sockets are flushed, writes the remaining log lines and exits.
 async fn flush_and_exit(log: LogWriter) {
     tokio::time::sleep(FLUSH_PAUSE).await;
-    log.write_now();
+    log.flush_now();
     std::process::exit(0);
 }
 
--- a/cli/tests/test_outward_names.rs
+++ b/cli/tests/test_outward_names.rs
@@ -510,7 +510,7 @@
     for number in 0..600 {
         LogEvent::new(EventCode::TasksPlaced, format!("number={number}")).emit();
     }
-    log.write_now();
+    log.flush_now();
 }
 
 /// The first line of a log with this event.
--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::config_chain::ConfigStamp;
-use crate::counters::{Counters, Kind as _};
+use crate::counters::{Counters, MessageKind as _};
 use crate::events::{EventCode, LogEvent};
 use crate::ids::{DispatchSeq, HallName, Incarnation, JobId, NodeName, Now, SessionId, TaskIndex};
 use crate::job::{TaskOutcome, TaskSpec};
--- a/lib/src/agent_daemon.rs
+++ b/lib/src/agent_daemon.rs
@@ -15,7 +15,7 @@
 
 use crate::agent::{AgentAction, AgentCore, AgentEvent, AgentOptions, Renewal, RunId, Start};
 use crate::clock::BootInstant;
-use crate::core_thread::{self, Admitted, Next, Router};
+use crate::core_thread::{self, InputOutcome, LoopControl, Router};
 use crate::entry_links::AGENT_PATH;
 use crate::events::{EventCode, LogEvent};
 use crate::http_platform::HttpTarget;
@@ -28,7 +28,7 @@
     self, HandshakeConfig, LinkCommand, LinkEvent, LinkTraffic, SessionLinks,
 };
 use crate::settings::AgentSettings;
-use crate::telemetry::{Levels, Report, Telemetry, TelemetryParts};
+use crate::telemetry::{MetricLevels, Telemetry, TelemetryParts, TelemetryReport};
 use crate::trace::{SpanRecord, TraceContext};
 use crate::worker_threads::{
     CORE_RING, DaemonThreads, Factory, OUT_RING, REPORT_RING, RingThread, ServerEnd, push_or_wait,
@@ -238,7 +238,7 @@
 struct AgentRouter {
     links: RingTx<LinkCommand<AgentMessage>>,
     target: RingTx<TargetCommand>,
-    reports: RingTx<Report>,
+    reports: RingTx<TelemetryReport>,
     traffic: Arc<LinkTraffic>,
     server_end: Option<oneshot::Sender<ServerEnd>>,
     levels_at: BootInstant,
@@ -247,8 +247,8 @@
 impl Router<AgentCore> for AgentRouter {
     type Input = AgentInput;
 
-    fn admit(&mut self, input: AgentInput) -> Admitted<AgentEvent> {
-        Admitted::Event(match input {
+    fn admit(&mut self, input: AgentInput) -> InputOutcome<AgentEvent> {
+        InputOutcome::Event(match input {
             AgentInput::Event(event) => event,
             AgentInput::Entry(LinkEvent::Opened { session, .. }) => {
                 AgentEvent::EntryConnected(session)
@@ -257,11 +257,11 @@
                 AgentEvent::EntryFrame { session, frame }
             }
             AgentInput::Entry(LinkEvent::Closed(session)) => AgentEvent::EntryClosed(session),
-            AgentInput::Halt => return Admitted::Halt,
+            AgentInput::Halt => return InputOutcome::Halt,
         })
     }
 
-    fn route(&mut self, action: AgentAction) -> Next {
+    fn route(&mut self, action: AgentAction) -> LoopControl {
         match action {
             AgentAction::KnowEntry(address) => {
                 push_or_wait(&mut self.links, LinkCommand::Dial(address));
@@ -282,9 +282,9 @@
                 push_or_wait(&mut self.target, TargetCommand::Stop(run));
             }
             AgentAction::Log(event) => event.emit(),
-            AgentAction::Stop => return Next::Stop,
+            AgentAction::Stop => return LoopControl::Stop,
         }
-        Next::Continue
+        LoopControl::Continue
     }
 
     fn observe(&mut self, core: &AgentCore) {
@@ -292,7 +292,7 @@
             return;
         }
         self.levels_at = BootInstant::now();
-        let levels = Levels {
+        let levels = MetricLevels {
             counters: core.counters().clone(),
             in_flight: core.running() as u64,
             slots: u64::from(core.slots()),
@@ -305,9 +305,9 @@
                 ),
             ]
             .into(),
-            ..Levels::default()
+            ..MetricLevels::default()
         };
-        report(&mut self.reports, Report::Levels(Box::new(levels)));
+        report(&mut self.reports, TelemetryReport::Levels(Box::new(levels)));
     }
 }
 
@@ -315,7 +315,7 @@
 struct Runner {
     target: Rc<dyn TargetService>,
     events: RefCell<RingTx<AgentInput>>,
-    spans: RefCell<RingTx<Report>>,
+    spans: RefCell<RingTx<TelemetryReport>>,
 }
 
 impl Runner {
@@ -357,7 +357,7 @@
                 end: SystemTime::now(),
                 detail,
             };
-            report(&mut self.spans.borrow_mut(), Report::Span(span));
+            report(&mut self.spans.borrow_mut(), TelemetryReport::Span(span));
         }
         self.send_to_core(AgentInput::Event(AgentEvent::RunEnded { run, end }))
             .await;
--- a/lib/src/agent_node.rs
+++ b/lib/src/agent_node.rs
@@ -134,7 +134,7 @@
         let sent = BootInstant::now();
         ntex::rt::spawn(async move {
             let answer = answer.await;
-            me.figures.call(sent.elapsed());
+            me.figures.record_call(sent.elapsed());
             me.deliver(AgentEvent::StartAnswered { key, token, answer });
         });
     }
@@ -200,10 +200,10 @@
     /// Renders the metrics page.
     pub fn metrics(&self) -> String {
         let gauges = self.core.borrow().gauges();
-        self.figures.level("runs", gauges.runs);
-        self.figures.level("entries", gauges.entries);
+        self.figures.set_gauge("runs", gauges.runs);
+        self.figures.set_gauge("entries", gauges.entries);
         let received = self.links.bytes_received();
-        self.figures.level("link_bytes_received", received);
+        self.figures.set_gauge("link_bytes_received", received);
         self.figures.link_bytes(&self.links.bytes_sent());
         self.figures.render()
     }
--- a/lib/src/agent_sessions.rs
+++ b/lib/src/agent_sessions.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::agent::{AgentAction, AgentCore, EntryLink};
-use crate::counters::Kind as _;
+use crate::counters::MessageKind as _;
 use crate::entry_targets::{HEARTBEAT_EVERY, SILENT_HEARTBEATS};
 use crate::events::EventCode;
 use crate::frame_order::FrameOrder;
--- a/lib/src/apply.rs
+++ b/lib/src/apply.rs
@@ -22,7 +22,7 @@
     /// Author of the change.
     pub author: String,
     /// How long to wait for the record to appear in the log.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// Outcome of a change, as far as it is known.
@@ -134,7 +134,7 @@
                 ChangeOutcome::LostRace { head } => ApplyOutcome::LostRace { head: head.version },
             });
         }
-        if began.elapsed() >= change.patience {
+        if began.elapsed() >= change.timeout {
             return None;
         }
         ntex::time::sleep(POLL_INTERVAL).await;
--- a/lib/src/core_thread.rs
+++ b/lib/src/core_thread.rs
@@ -54,7 +54,7 @@
 
 /// Whether the thread continues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum LoopControl {
     /// Keep running.
     Continue,
     /// End the thread.
@@ -63,7 +63,7 @@
 
 /// Result of admitting an input.
 #[derive(Debug)]
-pub enum Admitted<E> {
+pub enum InputOutcome<E> {
     /// An event for the core.
     Event(E),
     /// Nothing to do.
@@ -78,10 +78,10 @@
     type Input;
 
     /// Converts an input into an event, and stores the state needed to answer it.
-    fn admit(&mut self, input: Self::Input) -> Admitted<C::Event>;
+    fn admit(&mut self, input: Self::Input) -> InputOutcome<C::Event>;
 
     /// Performs an action.
-    fn route(&mut self, action: C::Action) -> Next;
+    fn route(&mut self, action: C::Action) -> LoopControl;
 
     /// Called after each tick with read access to the core.
     fn observe(&mut self, core: &C);
@@ -101,11 +101,11 @@
                 };
                 idle = false;
                 let event = match router.admit(item) {
-                    Admitted::Event(event) => event,
-                    Admitted::Nothing => continue,
-                    Admitted::Halt => return,
+                    InputOutcome::Event(event) => event,
+                    InputOutcome::Nothing => continue,
+                    InputOutcome::Halt => return,
                 };
-                if step(&mut core, origin.elapsed(), event, router) == Next::Stop {
+                if step(&mut core, origin.elapsed(), event, router) == LoopControl::Stop {
                     return;
                 }
             }
@@ -113,7 +113,7 @@
         let now = origin.elapsed();
         if now >= next_tick {
             next_tick = now + TICK;
-            if step(&mut core, now, C::tick(), router) == Next::Stop {
+            if step(&mut core, now, C::tick(), router) == LoopControl::Stop {
                 return;
             }
             router.observe(&core);
@@ -123,11 +123,16 @@
     }
 }
 
-fn step<C: Core, R: Router<C>>(core: &mut C, now: Now, event: C::Event, router: &mut R) -> Next {
+fn step<C: Core, R: Router<C>>(
+    core: &mut C,
+    now: Now,
+    event: C::Event,
+    router: &mut R,
+) -> LoopControl {
     for action in core.handle(now, event) {
-        if router.route(action) == Next::Stop {
-            return Next::Stop;
+        if router.route(action) == LoopControl::Stop {
+            return LoopControl::Stop;
         }
     }
-    Next::Continue
+    LoopControl::Continue
 }
--- a/lib/src/counters.rs
+++ b/lib/src/counters.rs
@@ -48,12 +48,12 @@
 }
 
 /// Gives messages a kind under which they are counted.
-pub trait Kind {
+pub trait MessageKind {
     /// Returns the kind.
     fn kind(&self) -> &'static str;
 }
 
-impl Kind for crate::message::EntryMessage {
+impl MessageKind for crate::message::EntryMessage {
     fn kind(&self) -> &'static str {
         match self {
             Self::Welcome(_) => "welcome",
@@ -73,7 +73,7 @@
     }
 }
 
-impl Kind for crate::message::AgentMessage {
+impl MessageKind for crate::message::AgentMessage {
     fn kind(&self) -> &'static str {
         match self {
             Self::Hello(_) => "hello",
@@ -90,7 +90,7 @@
     }
 }
 
-impl Kind for crate::message::PeerMessage {
+impl MessageKind for crate::message::PeerMessage {
     fn kind(&self) -> &'static str {
         match self {
             Self::Hello(_) => "hello",
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -234,14 +234,14 @@
     /// Write a line to the log.
     Log(LogEvent),
     /// Record the response time of a job that was answered `complete`.
-    Measured(Measure),
+    Measured(ResponseMeasurement),
     /// Stop the process: the drain has ended.
     Stop,
 }
 
 /// Measured and ideal response time of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Measure {
+pub struct ResponseMeasurement {
     /// From arrival to answer.
     pub response: Duration,
     /// The larger of the longest run time and the total run time divided by the open slots.
@@ -381,13 +381,15 @@
             t.session
         });
         if let Some(Some(session)) = session {
-            self.counters.message(crate::counters::Kind::kind(&message));
+            self.counters
+                .message(crate::counters::MessageKind::kind(&message));
             self.agents.push(session, message);
         }
     }
 
     pub(crate) fn send_peer(&mut self, session: SessionId, message: PeerMessage) {
-        self.counters.message(crate::counters::Kind::kind(&message));
+        self.counters
+            .message(crate::counters::MessageKind::kind(&message));
         self.peers.push(session, message);
     }
 
--- a/lib/src/entry_daemon.rs
+++ b/lib/src/entry_daemon.rs
@@ -16,7 +16,7 @@
 use crate::config_chain::ConfigStamp;
 use crate::core_thread::{self, Router as _};
 use crate::entry::{EntryAction, EntryCore, EntryEvent, EntryOptions};
-use crate::entry_input::{Ask, EntryInput};
+use crate::entry_input::{CoreRequest, EntryInput};
 use crate::entry_links::LinkParts;
 use crate::entry_router::{EntryRouter, ServerEndSender};
 use crate::events::{EventCode, LogEvent};
@@ -29,7 +29,7 @@
 use crate::ring::{RingRx, RingTx, TaskWaker, ring};
 use crate::session_links::{self, LinkCommand, LinkTraffic};
 use crate::settings::EntrySettings;
-use crate::telemetry::{MetricsPage, Report, Telemetry, TelemetryParts};
+use crate::telemetry::{MetricsPage, Telemetry, TelemetryParts, TelemetryReport};
 use crate::worker_threads::{
     CORE_RING, DaemonThreads, Factory, OUT_RING, REPORT_RING, RingThread, Routes, ServerEnd,
     ServerPlan, run_system, serve, spawn,
@@ -170,7 +170,7 @@
     pub fn drain(&self) {
         let event = EntryEvent::Drain;
         self.threads
-            .send(EntryInput::Ask(Ask { event, reply: None }));
+            .send(EntryInput::Ask(CoreRequest { event, reply: None }));
     }
 
     /// Stops at once, as a crash would: connections and sessions are cut.
@@ -212,7 +212,7 @@
 /// Creates the rings of HTTP workers.
 struct WorkerRingFactory<'a> {
     core: &'a mut RingThread<EntryInput, CoreParts>,
-    telemetry: &'a mut RingThread<Report, ()>,
+    telemetry: &'a mut RingThread<TelemetryReport, ()>,
     next_worker: u64,
 }
 
--- a/lib/src/entry_input.rs
+++ b/lib/src/entry_input.rs
@@ -9,16 +9,16 @@
 
 /// An event for the core, with the request that waits for its reply.
 #[derive(Debug)]
-pub struct Ask {
+pub struct CoreRequest {
     /// The event.
     pub event: EntryEvent,
     /// The request that waits for a reply, if any.
-    pub reply: Option<Awaited>,
+    pub reply: Option<PendingReply>,
 }
 
 /// A request that waits for its reply.
 #[derive(Debug)]
-pub struct Awaited {
+pub struct PendingReply {
     /// Id of the request.
     pub request: RequestId,
     /// Channel for the reply.
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub enum EntryInput {
     /// An event, with or without a request that waits for a reply.
-    Ask(Ask),
+    Ask(CoreRequest),
     /// An event of an agent's session.
     Agent(LinkEvent<AgentMessage>),
     /// An event of a peer's session.
--- a/lib/src/entry_jobs.rs
+++ b/lib/src/entry_jobs.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use crate::admission::{AdmissionContext, Estimate};
-use crate::entry::{EntryAction, EntryCore, JobRequest, Measure, Progress, Reply, Submission};
+use crate::entry::{
+    EntryAction, EntryCore, JobRequest, Progress, Reply, ResponseMeasurement, Submission,
+};
 use crate::ids::{Incarnation, JobId, JobSeq, RequestId, TeamName};
 use crate::job::{Answer, Failure, JobSpec, RefusalReason, TaskOutcome};
 use crate::job_history::StepKind;
@@ -212,7 +214,7 @@
         };
         let results: Vec<Arc<str>> = job.results.drain(..).flatten().collect();
         let slots = self.targets.open_slots().max(1);
-        let measure = Measure {
+        let measure = ResponseMeasurement {
             response: self.now.saturating_sub(job.arrived),
             ideal: job.longest_run.max(job.total_run / slots),
         };
--- a/lib/src/entry_node.rs
+++ b/lib/src/entry_node.rs
@@ -87,7 +87,7 @@
             EntryAction::Disconnect(address) => self.links.disconnect(address),
             EntryAction::Log(event) => self.log(event),
             EntryAction::Measured(took_ms, _) => {
-                self.figures.response(Duration::from_millis(took_ms));
+                self.figures.record_response(Duration::from_millis(took_ms));
             }
             EntryAction::Exit => self.ended.notify_one(),
         }
@@ -149,13 +149,14 @@
     /// Renders the metrics page.
     pub fn metrics(&self) -> String {
         let gauges = self.core.borrow().gauges();
-        self.figures.level("batches", gauges.batches);
-        self.figures.level("targets", gauges.targets);
-        self.figures.level("config_version", gauges.config_version);
+        self.figures.set_gauge("batches", gauges.batches);
+        self.figures.set_gauge("targets", gauges.targets);
         self.figures
-            .level("evacuated_halls", gauges.evacuated_halls);
+            .set_gauge("config_version", gauges.config_version);
+        self.figures
+            .set_gauge("evacuated_halls", gauges.evacuated_halls);
         let received = self.links.bytes_received();
-        self.figures.level("link_bytes_received", received);
+        self.figures.set_gauge("link_bytes_received", received);
         self.figures.link_bytes(&self.links.bytes_sent());
         self.figures.render()
     }
--- a/lib/src/entry_peers.rs
+++ b/lib/src/entry_peers.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::config_chain::AdoptOutcome;
-use crate::counters::Kind as _;
+use crate::counters::MessageKind as _;
 use crate::entry::{EntryAction, EntryCore};
 use crate::events::EventCode;
 use crate::frame_order::FrameOrder;
--- a/lib/src/entry_router.rs
+++ b/lib/src/entry_router.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 
 use crate::clock::BootInstant;
-use crate::core_thread::{Admitted, Next, Router};
+use crate::core_thread::{InputOutcome, LoopControl, Router};
 use crate::entry::{EntryAction, EntryCore, EntryEvent, Reply};
 use crate::entry_input::EntryInput;
 use crate::ids::RequestId;
@@ -16,7 +16,7 @@
 use crate::platform_thread::PlatformCommand;
 use crate::ring::RingTx;
 use crate::session_links::{LinkCommand, LinkEvent, LinkTraffic};
-use crate::telemetry::{Levels, Report};
+use crate::telemetry::{MetricLevels, TelemetryReport};
 use crate::worker_threads::{ServerEnd, push_or_wait, report};
 
 /// Interval between reports of levels to telemetry.
@@ -31,7 +31,7 @@
     pub(crate) agents: RingTx<LinkCommand<EntryMessage>>,
     pub(crate) peers: RingTx<LinkCommand<PeerMessage>>,
     pub(crate) platform: RingTx<PlatformCommand>,
-    pub(crate) reports: RingTx<Report>,
+    pub(crate) reports: RingTx<TelemetryReport>,
     pub(crate) own_address: String,
     pub(crate) traffic: Arc<LinkTraffic>,
     pub(crate) server_end: ServerEndSender,
@@ -39,30 +39,30 @@
 }
 
 impl EntryRouter {
-    fn admit_agent(&mut self, event: LinkEvent<AgentMessage>) -> Admitted<EntryEvent> {
-        Admitted::Event(match event {
+    fn admit_agent(&mut self, event: LinkEvent<AgentMessage>) -> InputOutcome<EntryEvent> {
+        InputOutcome::Event(match event {
             LinkEvent::Opened {
                 session,
                 first: Some(AgentMessage::Hello(hello)),
             } => EntryEvent::AgentOpened { session, hello },
             LinkEvent::Opened { session, .. } => {
                 push_or_wait(&mut self.agents, LinkCommand::Close(session));
-                return Admitted::Nothing;
+                return InputOutcome::Nothing;
             }
             LinkEvent::Frame { session, frame } => EntryEvent::AgentFrame { session, frame },
             LinkEvent::Closed(session) => EntryEvent::AgentClosed(session),
         })
     }
 
-    fn admit_peer(&mut self, event: LinkEvent<PeerMessage>) -> Admitted<EntryEvent> {
-        Admitted::Event(match event {
+    fn admit_peer(&mut self, event: LinkEvent<PeerMessage>) -> InputOutcome<EntryEvent> {
+        InputOutcome::Event(match event {
             LinkEvent::Opened {
                 session,
                 first: Some(PeerMessage::Hello(hello)),
             } => EntryEvent::PeerOpened { session, hello },
             LinkEvent::Opened { session, .. } => {
                 push_or_wait(&mut self.peers, LinkCommand::Close(session));
-                return Admitted::Nothing;
+                return InputOutcome::Nothing;
             }
             LinkEvent::Frame { session, frame } => EntryEvent::PeerFrame { session, frame },
             LinkEvent::Closed(session) => EntryEvent::PeerClosed(session),
@@ -73,7 +73,7 @@
 impl Router<EntryCore> for EntryRouter {
     type Input = EntryInput;
 
-    fn admit(&mut self, input: EntryInput) -> Admitted<EntryEvent> {
+    fn admit(&mut self, input: EntryInput) -> InputOutcome<EntryEvent> {
         match input {
             EntryInput::Ask(ask) => {
                 if let Some(awaited) = ask.reply {
@@ -82,15 +82,15 @@
                 if let EntryEvent::CallerGone(request) = &ask.event {
                     self.pending.remove(request);
                 }
-                Admitted::Event(ask.event)
+                InputOutcome::Event(ask.event)
             }
             EntryInput::Agent(event) => self.admit_agent(event),
             EntryInput::Peer(event) => self.admit_peer(event),
-            EntryInput::Halt => Admitted::Halt,
+            EntryInput::Halt => InputOutcome::Halt,
         }
     }
 
-    fn route(&mut self, action: EntryAction) -> Next {
+    fn route(&mut self, action: EntryAction) -> LoopControl {
         match action {
             EntryAction::Reply { request, reply } => {
                 // The send fails if the caller has disconnected; the reply is dropped then.
@@ -127,11 +127,11 @@
             }
             EntryAction::Log(event) => event.emit(),
             EntryAction::Measured(measure) => {
-                report(&mut self.reports, Report::Measure(measure));
+                report(&mut self.reports, TelemetryReport::Measure(measure));
             }
-            EntryAction::Stop => return Next::Stop,
+            EntryAction::Stop => return LoopControl::Stop,
         }
-        Next::Continue
+        LoopControl::Continue
     }
 
     fn observe(&mut self, core: &EntryCore) {
@@ -139,7 +139,7 @@
             return;
         }
         self.levels_reported_at = BootInstant::now();
-        let levels = Levels {
+        let levels = MetricLevels {
             counters: core.counters().clone(),
             waiting: u64::from(core.waiting_tasks()),
             in_flight: core.jobs_held() as u64,
@@ -154,6 +154,6 @@
             ]
             .into(),
         };
-        report(&mut self.reports, Report::Levels(Box::new(levels)));
+        report(&mut self.reports, TelemetryReport::Levels(Box::new(levels)));
     }
 }
--- a/lib/src/entry_targets.rs
+++ b/lib/src/entry_targets.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::counters::Kind as _;
+use crate::counters::MessageKind as _;
 use crate::entry::{EntryAction, EntryCore};
 use crate::events::EventCode;
 use crate::frame_order::FrameOrder;
--- a/lib/src/http_api.rs
+++ b/lib/src/http_api.rs
@@ -17,13 +17,13 @@
 
 use crate::admission::PERMITS_PATH;
 use crate::entry::{EntryEvent, JobRequest, PermitRequest, Reply, Submission};
-use crate::entry_input::{Ask, Awaited, EntryInput};
+use crate::entry_input::{CoreRequest, EntryInput, PendingReply};
 use crate::events::{EventCode, LogEvent};
 use crate::http_answer::response_for;
 use crate::ids::{JobId, RequestId};
 use crate::job::{Answer, Failure, RefusalReason, TaskSpec};
 use crate::ring::RingTx;
-use crate::telemetry::{MetricsPage, Report};
+use crate::telemetry::{MetricsPage, TelemetryReport};
 use crate::trace::{SpanRecord, TRACEPARENT, TraceContext};
 
 /// Deadline of a job that sets none.
@@ -40,7 +40,7 @@
     /// Ring to the core.
     pub asks: RingTx<EntryInput>,
     /// Ring to telemetry.
-    pub reports: RingTx<Report>,
+    pub reports: RingTx<TelemetryReport>,
 }
 
 /// Rings for workers that have not started yet.
@@ -49,7 +49,7 @@
 /// Connects the handlers of one worker to the core and telemetry.
 pub struct Gateway {
     asks: RefCell<RingTx<EntryInput>>,
-    reports: RefCell<RingTx<Report>>,
+    reports: RefCell<RingTx<TelemetryReport>>,
     next_request: Cell<RequestId>,
 }
 
@@ -81,17 +81,17 @@
 
     async fn ask(&self, request: RequestId, event: EntryEvent) -> Result<Reply, Unavailable> {
         let (tx, rx) = oneshot::channel();
-        let reply = Some(Awaited { request, reply: tx });
+        let reply = Some(PendingReply { request, reply: tx });
         let pushed = self
             .asks
             .borrow_mut()
-            .push(EntryInput::Ask(Ask { event, reply }));
+            .push(EntryInput::Ask(CoreRequest { event, reply }));
         pushed.map_err(|_| Unavailable::RingFull)?;
         rx.await.map_err(|_| Unavailable::CoreStopped)
     }
 
     fn notify(&self, event: EntryEvent) {
-        let ask = Ask { event, reply: None };
+        let ask = CoreRequest { event, reply: None };
         if self.asks.borrow_mut().push(EntryInput::Ask(ask)).is_err() {
             LogEvent::new(EventCode::RingFull, "callers to core").emit();
         }
@@ -99,7 +99,7 @@
 
     /// Reports a span without delaying the caller. Drops the span if the ring is full.
     fn report(&self, span: SpanRecord) {
-        let _ = self.reports.borrow_mut().push(Report::Span(span));
+        let _ = self.reports.borrow_mut().push(TelemetryReport::Span(span));
     }
 }
 
--- a/lib/src/http_platform.rs
+++ b/lib/src/http_platform.rs
@@ -33,7 +33,7 @@
 
 /// Maximum concurrent connections. Not 0 ("no limit"): the pool of ntex 3.12 then never wakes a
 /// request that waits for another connection to be established.
-pub const MOST_CONNECTIONS: usize = 100_000;
+pub const MAX_CONNECTIONS: usize = 100_000;
 
 const LOG_SERVICE: &str = "log service";
 const VM_LIST: &str = "VM list";
@@ -79,7 +79,7 @@
 async fn unpooled_client(timeout: Millis) -> Client {
     let connector = Connector::new()
         .keep_alive(Seconds::ZERO)
-        .limit(MOST_CONNECTIONS);
+        .limit(MAX_CONNECTIONS);
     Client::builder()
         .connector::<()>(connector)
         .response_timeout(timeout)
--- a/lib/src/log_summary.rs
+++ b/lib/src/log_summary.rs
@@ -59,7 +59,7 @@
     /// Time from a batch's arrival to each dispatch of its tasks.
     pub waited: Samples,
     /// Age of a target's last load report when tasks were sent to it.
-    pub known_for: Samples,
+    pub load_report_age: Samples,
     /// Lines dropped because a process logged too many.
     pub dropped_lines: u64,
 }
@@ -135,7 +135,7 @@
         let runs = runs.split_once(']').map_or("", |(runs, _)| runs);
         self.tasks_sent += runs.matches('(').count() as u64;
         self.waited.add(number(text, "age_ms"));
-        self.known_for.add(number(text, "heard_ms_ago"));
+        self.load_report_age.add(number(text, "heard_ms_ago"));
     }
 }
 
--- a/lib/src/log_writer.rs
+++ b/lib/src/log_writer.rs
@@ -56,7 +56,7 @@
     }
 
     /// Writes the buffered lines at once. Called before the process exits.
-    pub fn write_now(&self) {
+    pub fn flush_now(&self) {
         let buffer = std::mem::take(&mut *self.lock());
         write_lines(buffer);
     }
@@ -126,7 +126,7 @@
     }
 
     fn flush(&self) -> Result<(), logforth::Error> {
-        self.write_now();
+        self.flush_now();
         Ok(())
     }
 }
--- a/lib/src/memory_platform.rs
+++ b/lib/src/memory_platform.rs
@@ -45,7 +45,7 @@
 
 impl MemoryLog {
     /// Creates a log that retains only the newest `records` records.
-    pub fn keeping(records: usize) -> Self {
+    pub fn with_retention(records: usize) -> Self {
         let log = Self::default();
         lock(&log.state).retention = Some(records);
         log
--- a/lib/src/node_metrics.rs
+++ b/lib/src/node_metrics.rs
@@ -67,17 +67,17 @@
     }
 
     /// Records the response time of a batch that succeeded.
-    pub fn response(&self, duration: Duration) {
+    pub fn record_response(&self, duration: Duration) {
         self.response_ms.record(duration.as_secs_f64() * 1e3, &[]);
     }
 
     /// Records the duration of a call to the target.
-    pub fn call(&self, duration: Duration) {
+    pub fn record_call(&self, duration: Duration) {
         self.run_ms.record(duration.as_secs_f64() * 1e3, &[]);
     }
 
     /// Sets the gauge named `what`.
-    pub fn level(&self, what: &'static str, value: u64) {
+    pub fn set_gauge(&self, what: &'static str, value: u64) {
         self.levels.record(value, &[KeyValue::new("what", what)]);
     }
 
--- a/lib/src/platform_thread.rs
+++ b/lib/src/platform_thread.rs
@@ -7,7 +7,7 @@
 
 use crate::config_chain::LogRecord;
 use crate::entry::EntryEvent;
-use crate::entry_input::{Ask, EntryInput};
+use crate::entry_input::{CoreRequest, EntryInput};
 use crate::http_platform::HttpPlatform;
 use crate::platform::{LogService, VmListService};
 use crate::ring::{RingRx, RingTx, TaskWaker};
@@ -64,7 +64,7 @@
             let vms = platform.vms.clone();
             ntex::rt::spawn(async move {
                 if let Some(event) = call_platform(command, &*log, &*vms).await {
-                    let input = EntryInput::Ask(Ask { event, reply: None });
+                    let input = EntryInput::Ask(CoreRequest { event, reply: None });
                     // A full ring drops the result; the core repeats the request.
                     let _ = events.borrow_mut().push(input);
                 }
--- a/lib/src/request_timeline.rs
+++ b/lib/src/request_timeline.rs
@@ -13,7 +13,7 @@
     /// The lines, ordered by time.
     pub lines: Vec<LogLine>,
     /// The outcome of the request as a sentence.
-    pub verdict: String,
+    pub outcome: String,
 }
 
 fn is_answer(text: &str) -> bool {
@@ -34,12 +34,12 @@
             lines.extend(related.filter_map(|l| read_line(process, l)));
         }
         lines.sort_by(|a, b| a.at.total_cmp(&b.at));
-        let verdict = verdict(&lines);
-        Self { lines, verdict }
+        let outcome = outcome(&lines);
+        Self { lines, outcome }
     }
 }
 
-fn verdict(lines: &[LogLine]) -> String {
+fn outcome(lines: &[LogLine]) -> String {
     let admitted = lines.iter().rev();
     let admitted = admitted
         .clone()
--- a/lib/src/telemetry.rs
+++ b/lib/src/telemetry.rs
@@ -18,7 +18,7 @@
 use prometheus::{Registry, TextEncoder};
 
 use crate::counters::Counters;
-use crate::entry::Measure;
+use crate::entry::ResponseMeasurement;
 use crate::ring::RingRx;
 use crate::trace::{SpanRecord, TraceContext};
 
@@ -29,18 +29,18 @@
 
 /// A report from another thread.
 #[derive(Debug)]
-pub enum Report {
+pub enum TelemetryReport {
     /// Counters and gauges of an entry or agent, sent once a second.
-    Levels(Box<Levels>),
+    Levels(Box<MetricLevels>),
     /// Response time of a job.
-    Measure(Measure),
+    Measure(ResponseMeasurement),
     /// A span that has ended.
     Span(SpanRecord),
 }
 
 /// Counters since the start and current gauge values.
 #[derive(Debug, Clone, Default)]
-pub struct Levels {
+pub struct MetricLevels {
     /// Counters since the start.
     pub counters: Counters,
     /// Tasks waiting.
@@ -85,7 +85,7 @@
         }
     }
 
-    fn set(&self, levels: &Levels, previous: &Levels) {
+    fn set(&self, levels: &MetricLevels, previous: &MetricLevels) {
         self.waiting.record(levels.waiting, &[]);
         self.in_flight.record(levels.in_flight, &[]);
         self.slots.record(levels.slots, &[]);
@@ -137,7 +137,7 @@
     _meter_provider: SdkMeterProvider,
     tracers: Option<SdkTracerProvider>,
     tracer: Option<SdkTracer>,
-    last_levels: Levels,
+    last_levels: MetricLevels,
 }
 
 /// Renders the metrics of one process.
@@ -187,7 +187,7 @@
             _meter_provider: meter_provider,
             tracer: tracers.as_ref().map(|t| t.tracer("trestleknot")),
             tracers,
-            last_levels: Levels::default(),
+            last_levels: MetricLevels::default(),
         };
         TelemetryParts {
             telemetry,
@@ -196,7 +196,7 @@
     }
 
     /// Handles reports until all producers are dropped, then flushes the spans.
-    pub fn run(mut self, mut rings: Vec<RingRx<Report>>) {
+    pub fn run(mut self, mut rings: Vec<RingRx<TelemetryReport>>) {
         while !rings.iter().all(RingRx::is_finished) {
             for ring in &mut rings {
                 while let Some(report) = ring.pop() {
@@ -210,18 +210,18 @@
         }
     }
 
-    fn handle(&mut self, report: Report) {
+    fn handle(&mut self, report: TelemetryReport) {
         match report {
-            Report::Levels(levels) => {
+            TelemetryReport::Levels(levels) => {
                 self.instruments.set(&levels, &self.last_levels);
                 self.last_levels = *levels;
             }
-            Report::Measure(measure) => {
+            TelemetryReport::Measure(measure) => {
                 let ideal = measure.ideal.as_secs_f64().max(1e-4);
                 let ratio = measure.response.as_secs_f64() / ideal;
                 self.instruments.response_ratio.record(ratio, &[]);
             }
-            Report::Span(span) => self.export(span),
+            TelemetryReport::Span(span) => self.export(span),
         }
     }
 
--- a/lib/src/worker_threads.rs
+++ b/lib/src/worker_threads.rs
@@ -17,7 +17,7 @@
 
 use crate::http_api::{self, BodyLimit, Gateway, RingPool};
 use crate::ring::{RingRx, RingTx, ThreadWaker, Wake, ring};
-use crate::telemetry::{MetricsPage, Report};
+use crate::telemetry::{MetricsPage, TelemetryReport};
 
 /// Capacity of a ring to a core, in items.
 pub const CORE_RING: usize = 8_192;
@@ -54,7 +54,7 @@
 }
 
 /// Sends a report to telemetry without blocking. Drops the report if the ring is full.
-pub fn report(ring: &mut RingTx<Report>, report: Report) {
+pub fn report(ring: &mut RingTx<TelemetryReport>, report: TelemetryReport) {
     let _ = ring.push(report);
 }
 
--- a/lib/tests/test_outward_names.rs
+++ b/lib/tests/test_outward_names.rs
@@ -32,8 +32,8 @@
     ConfigStamp, ConfigState, LogBatch, LogRecord, StoredRecord, stamp_of,
 };
 use trestleknot_lib::config_document::Document;
-use trestleknot_lib::counters::{Counters, Kind};
-use trestleknot_lib::entry::{EntryEvent, Measure, Progress, Reply};
+use trestleknot_lib::counters::{Counters, MessageKind};
+use trestleknot_lib::entry::{EntryEvent, Progress, Reply, ResponseMeasurement};
 use trestleknot_lib::entry_input::EntryInput;
 use trestleknot_lib::entry_node::EntryNode;
 use trestleknot_lib::evacuations::EvacuatedHalls;
@@ -76,7 +76,7 @@
 use trestleknot_lib::target_health::HealthReport;
 use trestleknot_lib::target_incarnation::TargetIncarnation;
 use trestleknot_lib::target_lease::Renewal;
-use trestleknot_lib::telemetry::{Levels, Report, Telemetry};
+use trestleknot_lib::telemetry::{MetricLevels, Telemetry, TelemetryReport};
 use trestleknot_lib::timings::{PlatformBounds, Timings};
 use trestleknot_lib::trace::TraceContext;
 use trestleknot_lib::vm_list::{VmRecord, VmRole, VmState};
@@ -669,7 +669,7 @@
     all
 }
 
-fn framed<M: Kind + Serialize>(group: &str, messages: Vec<M>) -> Vec<Encoded> {
+fn framed<M: MessageKind + Serialize>(group: &str, messages: Vec<M>) -> Vec<Encoded> {
     let frame = |(n, message): (u64, M)| {
         let label = format!("{n:02} {}", message.kind());
         let messages = vec![message];
@@ -1285,7 +1285,7 @@
 fn test_caller_routes_and_operator_routes() {
     run_system("test", async {
         let (asks, mut asked) = ring::<EntryInput>(64, Arc::new(TaskWaker::default()));
-        let (reports, _reported) = ring::<Report>(64, Arc::new(TaskWaker::default()));
+        let (reports, _reported) = ring::<TelemetryReport>(64, Arc::new(TaskWaker::default()));
         let rings = WorkerRings {
             worker: 0,
             asks,
@@ -1347,7 +1347,7 @@
 fn test_render_metrics_page() {
     let parts = Telemetry::build("entry", None);
     let (mut reports, reported) = ring(8, Arc::new(TaskWaker::default()));
-    let levels = Levels {
+    let levels = MetricLevels {
         counters: counters(),
         waiting: 1,
         in_flight: 2,
@@ -1355,16 +1355,19 @@
         config_version: 4,
         link_bytes: BTreeMap::from([("received", 5), ("sent", 6)]),
     };
-    let measure = Measure {
+    let measure = ResponseMeasurement {
         response: Duration::from_millis(300),
         ideal: Duration::from_millis(200),
     };
-    for report in [Report::Levels(Box::new(levels)), Report::Measure(measure)] {
+    for report in [
+        TelemetryReport::Levels(Box::new(levels)),
+        TelemetryReport::Measure(measure),
+    ] {
         assert!(reports.push(report).is_ok());
     }
     drop(reports);
     let page = parts.page.clone();
-    let (last, more) = ring::<Report>(1, Arc::new(TaskWaker::default()));
+    let (last, more) = ring::<TelemetryReport>(1, Arc::new(TaskWaker::default()));
     let running = std::thread::spawn(move || parts.telemetry.run(vec![reported, more]));
     let mut text = page.render();
     while !text.contains("_bucket") {
@@ -1381,9 +1384,9 @@
     let figures = NodeMetrics::new();
     figures.event(EventCode::BatchAdmitted);
     figures.answer(batch_event::Reply::Succeeded.kind());
-    figures.response(Duration::from_millis(3));
-    figures.call(Duration::from_millis(3));
-    figures.level("batches", 3);
+    figures.record_response(Duration::from_millis(3));
+    figures.record_call(Duration::from_millis(3));
+    figures.set_gauge("batches", 3);
     figures.link_bytes(&BTreeMap::from([("starts", 7)]));
     insta::assert_snapshot!(names_of(&figures.render()));
 }
--- a/lib/tests/test_request_timeline.rs
+++ b/lib/tests/test_request_timeline.rs
@@ -31,6 +31,6 @@
 #[test]
 fn test_of_verdicts() {
     let ids = ["aa01", "r2", "r3", "r4", "r5", "r6"];
-    let verdicts = ids.map(|id| RequestTimeline::of(id, &logs()).verdict);
+    let verdicts = ids.map(|id| RequestTimeline::of(id, &logs()).outcome);
     insta::assert_debug_snapshot!(verdicts);
 }
--- a/lib/testutils/src/caller.rs
+++ b/lib/testutils/src/caller.rs
@@ -9,7 +9,7 @@
 use ntex::time::{Millis, Seconds};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
-use trestleknot_lib::http_platform::MOST_CONNECTIONS;
+use trestleknot_lib::http_platform::MAX_CONNECTIONS;
 use trestleknot_lib::job::Answer;
 use trestleknot_lib::memory_target::TaskScript;
 
@@ -153,7 +153,7 @@
 /// Creates an HTTP client that keeps connections alive.
 pub async fn new_client() -> Client {
     let connector = Connector::new()
-        .limit(MOST_CONNECTIONS)
+        .limit(MAX_CONNECTIONS)
         .keep_alive(Seconds(30));
     Client::builder()
         .connector::<()>(connector)
--- a/lib/testutils/src/platform_stand_ins.rs
+++ b/lib/testutils/src/platform_stand_ins.rs
@@ -346,7 +346,7 @@
 
 async fn serve_target(req: HttpRequest, body: Bytes, target: State<TargetStandIn>) -> HttpResponse {
     let fault = *lock(&target.fault);
-    let target_name = req.headers().get(names::EXPECT_LIFE);
+    let target_name = req.headers().get(names::EXPECT_INCARNATION);
     let target_name = target_name.and_then(|h| h.to_str().ok()).map(Arc::from);
     match fault {
         Fault::Status(status) => return respond(status, ""),
