--- a/lib/src/active_batch.rs
+++ b/lib/src/active_batch.rs
@@ -93,7 +93,7 @@
     CallerGone,
     /// The caller deadline or the placement deadline has passed.
     Deadline,
-    /// The batch was cancelled.
+    /// A cancel request for the batch arrived.
     Cancelled,
     /// The batch was answered as failed.
     Failed,
@@ -118,18 +118,18 @@
     pub arrived: Now,
     /// Time by which it should be done according to its objective.
     pub due: Now,
-    /// Whether it can no longer be in time: its objective had passed when its caller retried here,
-    /// or it wasn't placed in time.
+    /// Whether it can no longer be done by `due`: that time had passed when its caller retried
+    /// here, or it wasn't placed in time.
     pub is_overdue: bool,
     /// Time at which the caller stops waiting.
     pub caller_deadline: Now,
-    /// Latest time of its first placement at which it can still be in time.
+    /// Latest first placement that still lets it finish by `due`.
     pub in_time_until: Now,
     /// Time at which it is refused if none of its tasks has been placed.
     pub placement_deadline: Now,
     /// Whether a start order was ever sent for it.
     pub was_dispatched: bool,
-    /// Links over which its payload was sent.
+    /// Links over which its payload was sent. A link is identified by its session.
     pub payload_sent_to: BTreeSet<SessionId>,
     /// Number of open runs.
     pub open_runs: u32,
@@ -223,7 +223,8 @@
         (task.run == key.run).then_some(task)
     }
 
-    /// Returns the open runs with their agents, without those being stopped if `skip_stopping`.
+    /// Returns the open runs with their agents. `skip_stopping` leaves out runs that are being
+    /// stopped.
     pub fn open_runs(&self, id: BatchId, skip_stopping: bool) -> Vec<(RunKey, NodeName)> {
         let mut runs = Vec::new();
         for (step_index, step) in self.steps.iter().enumerate() {
@@ -240,7 +241,7 @@
                 let key = RunKey {
                     task: TaskKey {
                         batch: id,
-                        // Batches are not repeated.
+                        // Number of the repetition; batches are not repeated.
                         time: 0,
                         step: step_index as u16,
                         index: index as u16,
@@ -254,7 +255,7 @@
     }
 }
 
-/// Arrival time and deadlines of a new batch.
+/// Times of a new batch, and whether it is overdue already.
 #[derive(Debug, Clone, Copy)]
 pub struct BatchTimes {
     /// Same as [`Batch::arrived`].
--- a/lib/src/agent_runs.rs
+++ b/lib/src/agent_runs.rs
@@ -1,4 +1,4 @@
-//! The agent's dispatches and runs: their fates, slots and leases.
+//! The agent's dispatches and runs: their acceptance, slots and leases.
 
 use std::time::Duration;
 
@@ -19,13 +19,14 @@
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
 
 impl AgentCore {
-    /// Decides the fate of a dispatch.
+    /// Starts or refuses a dispatch. Ignores a copy of an earlier one.
     pub(crate) fn dispatched(
         &mut self,
         session: SessionId,
         entry: Incarnation,
         dispatch: Dispatch,
     ) {
+        // The ledger records the outcome of each dispatch until the entry has settled it.
         self.ledger.settle(entry, dispatch.settled_below);
         if self.ledger.offer(entry, dispatch.seq) == Offer::Duplicate {
             return;
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Revokes dispatches: refuses those that have not started for good and stops those that run.
+    /// Revokes dispatches: those not yet started are refused permanently, running ones are stopped.
     pub(crate) fn revoked(&mut self, entry: Incarnation, seqs: &[DispatchSeq]) {
         for &seq in seqs {
             match self.ledger.revoke(entry, seq) {
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Renews the leases of all runs at intervals of a third of their length.
+    /// Renews the leases of all runs that aren't being stopped, every third of the lease.
     pub(crate) fn renew_leases(&mut self) {
         if self.now.saturating_sub(self.renewed_at) < self.lease / 3 {
             return;
@@ -189,8 +190,9 @@
         }
     }
 
-    /// Stops the tasks of entries disconnected for [`ORPHAN_GRACE`] and forgets entries that have
-    /// been disconnected for [`FORGET_AFTER`].
+    /// Stops the tasks of entries disconnected for [`ORPHAN_GRACE`] and abandons their permit
+    /// claims: whether those requests ran is then unknown. Forgets entries disconnected for
+    /// [`FORGET_AFTER`].
     pub(crate) fn stop_orphans(&mut self) {
         let lost: Vec<Incarnation> = self
             .ledger
--- a/lib/src/apply.rs
+++ b/lib/src/apply.rs
@@ -1,5 +1,5 @@
 //! Applies a configuration by compare-and-set on the log. The outcome is learned by reading the
-//! log, because the response to the append may be lost.
+//! log, because the response to the append may be lost. The head is the configuration in force.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,7 +40,7 @@
     },
     /// Another change was appended first. This one has no effect and never will.
     LostRace {
-        /// The version that came first.
+        /// The version in force when the change reached the log.
         head: u64,
     },
     /// The change was not sent, because the log could not be read or no longer holds the
@@ -64,7 +64,6 @@
     Ok(follower.chain.state().cloned())
 }
 
-/// Follows the configuration chain in the log.
 #[derive(Default)]
 struct LogFollower {
     chain: ConfigChain,
@@ -76,6 +75,7 @@
         loop {
             let batch = log.read(self.chain.read_from()).await?;
             let at_end = batch.next >= batch.end;
+            // The time matters only for gaps and snapshots, which aren't handled here.
             seen.extend(self.chain.read(&batch, Duration::ZERO));
             if at_end {
                 return Ok(seen);
@@ -107,7 +107,8 @@
         text: change.text.clone(),
         author: change.author.clone(),
     };
-    // The response decides nothing: it may be lost although the record was written.
+    // The response only gives the cause for `Unknown`: the record may be written although it was
+    // lost.
     let reply = log.append(record).await;
     let cause = match reply {
         Ok(_) => "the record did not appear in the log".to_owned(),
@@ -141,7 +142,7 @@
     }
 }
 
-/// Returns the document in force, or an empty one.
+/// Returns the document in force, or an empty one if there is none or it can't be parsed.
 pub fn document_of(state: Option<&ConfigState>) -> Document {
     state
         .and_then(|s| Document::parse("log", &s.text).ok())
--- a/lib/src/batch_entry.rs
+++ b/lib/src/batch_entry.rs
@@ -1,8 +1,13 @@
 //! The entry's core on the platform: a deterministic state machine, `(now, event) -> actions`.
+//! `entry_node` runs it. `entry_daemon` runs the other core, `entry::EntryCore`, where a batch is
+//! called a job.
 //!
 //! It routes events to the controllers that own the state: the configuration in force, the
 //! batches, the targets and the other entries. A task is restarted only on proof that its last run
 //! is over; docs/design/platform.md lists the proofs.
+//!
+//! A link is a connection to an agent or another entry, identified by its [`SessionId`]. The VM's
+//! network link carries all of them.
 
 mod agents;
 mod callers;
@@ -32,11 +37,11 @@
 use crate::target_registry::TargetRegistry;
 use crate::wait_forecast::WaitForecast;
 
-/// Number of batches without capacity after which a placement round ends.
+/// A placement round ends after this many batches with a task that found no target.
 const MAX_PLACEMENT_MISSES: u32 = 6;
 
-/// How long capacity counts as scarce after a task found none. A placement round that ends because
-/// the link is full doesn't show whether capacity is still scarce.
+/// How long capacity counts as scarce after a task found none. Later rounds may not show it,
+/// because a round ends when the VM's network link is full.
 const CAPACITY_SHORTAGE_TTL: Duration = Duration::from_millis(100);
 
 /// Estimated bytes of a reply to a caller, including headers.
@@ -47,8 +52,8 @@
 struct Outbox {
     /// Orders, sent when the current event has been handled.
     orders: Vec<Order>,
-    /// Newly discovered entries, sent with the next packet. They cause no packet of their own,
-    /// because many entries may start together.
+    /// Newly discovered entries, sent only with the next packet: many entries may start together,
+    /// and each would cause a packet.
     entries: Vec<SocketAddr>,
 }
 
@@ -66,14 +71,16 @@
     lost_agents: BTreeMap<NodeName, Now>,
     needs_placing: bool,
     drain: EntryDrain,
+    /// Batches that arrived before the first configuration.
     deferred: DeferredBatches,
     retry_detector: RetryDetector,
     backlog: BacklogMonitor,
     forecast: WaitForecast,
+    /// Load of this VM's network link.
     link_load: LinkLoad,
     /// When a task last found no target with free capacity.
     capacity_lacked_at: Option<Now>,
-    /// When the link can take another start order; `None` if it can now.
+    /// When this VM's network link can take another start order; `None` if it can now.
     link_full_until: Option<Now>,
     packer: PayloadPacker,
     exited: bool,
@@ -123,7 +130,7 @@
             self.needs_placing = true;
         }
         self.place_waiting();
-        // Tasks that wait for this VM's link don't indicate a lack of capacity at targets.
+        // Tasks that wait for this VM's network link don't indicate a lack of capacity at targets.
         let waits_for_capacity = self.table.has_waiting() && self.lacks_capacity();
         self.backlog.note(self.now, waits_for_capacity);
         self.forecast.note_waiting(self.now, waits_for_capacity);
@@ -133,7 +140,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Records the bytes sent over this VM's link.
+    /// Records the bytes sent over this VM's network link.
     fn record_traffic(&mut self) {
         for action in &self.actions {
             let bytes = match action {
@@ -159,10 +166,10 @@
         Some(soonest.max(self.now + Duration::from_millis(1)))
     }
 
-    /// Returns whether the balancer should send new connections.
+    /// Returns whether the load balancer should send new connections to this entry.
     pub fn is_ready(&self) -> bool {
         let has_config = self.directory.config().table().is_some();
-        // If evacuations are the only reason for a lack of targets, callers get that answer here.
+        // Evacuated targets count: if no others are left, the entry stays ready and tells callers.
         has_config && !self.drain.has_begun() && self.targets.reachable(self.now) > 0
     }
 
--- a/lib/src/batch_entry/agents.rs
+++ b/lib/src/batch_entry/agents.rs
@@ -21,7 +21,6 @@
 const MOVE_THRESHOLD: f64 = 0.7;
 /// Assumed overhead of a move: the stop, its report and a new start order.
 const MOVE_COST: Duration = Duration::from_millis(25);
-/// Upper bound on the number of waiting tasks reported to agents.
 const MAX_REPORTED_WAITING: u32 = 1_000;
 
 impl BatchEntryCore {
@@ -186,7 +185,8 @@
         self.handle_run_end(key, outcome);
     }
 
-    /// Logs the task of a run that was open when its target crashed.
+    /// Logs a crash of the target during a run. Works on a copy of the task's crash history;
+    /// `handle_run_end` updates the task.
     fn log_crash(&mut self, link: SessionId, key: RunKey, alone: bool) {
         let Some(mut history) = self.table.task(key).map(|task| task.crashes) else {
             return;
@@ -227,6 +227,7 @@
         self.handle_run_end(key, RunOutcome::Retry { superseded });
     }
 
+    /// Logs that a target was ejected or readmitted. Events call this "set aside" and "returned".
     pub(super) fn log_ejection_change(
         &mut self,
         link: SessionId,
@@ -244,7 +245,9 @@
         }
     }
 
-    /// Moves a slow run if another target would finish it sooner, including the cost of the move.
+    /// Moves a slow run if another target has room and would take clearly less time, see
+    /// [`MOVE_THRESHOLD`]. Does nothing if the step's estimate counts as wrong, unless the run's
+    /// target is ejected.
     pub(super) fn handle_slow(&mut self, link: SessionId, key: RunKey, ran_ms: u32, percent: u32) {
         let Some(estimate) = self.estimate_of(key) else {
             return;
@@ -318,7 +321,8 @@
 
     pub(super) fn send_orders(&mut self, link: SessionId) {
         let now = self.now;
-        // Tasks that wait for this VM's own link couldn't use a reservation.
+        // Agents reserve capacity for waiting tasks. Tasks that wait for this VM's network link
+        // couldn't use it.
         let waiting = if self.link_full_until.is_some() {
             0
         } else {
--- a/lib/src/counters.rs
+++ b/lib/src/counters.rs
@@ -19,7 +19,8 @@
     pub not_started: u64,
     /// Messages sent and received, by kind.
     pub messages: BTreeMap<String, u64>,
-    /// Messages for tasks that led to no useful answer.
+    /// Estimated number of messages that served no purpose: about dispatches that were refused or
+    /// revoked, slots that were recalled or returned, and tasks of failed jobs.
     pub wasted: u64,
 }
 
@@ -36,8 +37,8 @@
         }
     }
 
-    /// Returns the number of messages about tasks. Heartbeats, reports, configuration and session
-    /// setup don't count.
+    /// Returns the number of messages, without heartbeats, reports, configuration and the opening
+    /// and closing of sessions.
     pub fn task_messages(&self) -> u64 {
         const CONTROL: [&str; 6] = [HEARTBEAT, "report", "config", "hello", "welcome", "goodbye"];
         let task = self.messages.iter();
@@ -49,7 +50,7 @@
 
 /// Gives messages a kind under which they are counted.
 pub trait Kind {
-    /// Returns the kind.
+    /// Returns the key in [`Counters::messages`].
     fn kind(&self) -> &'static str;
 }
 
--- a/lib/src/entry_discovery.rs
+++ b/lib/src/entry_discovery.rs
@@ -1,16 +1,15 @@
 //! Decides when an agent asks the platform's store for the addresses of entries.
 //!
 //! The settings name only a few seed entries. After a power failure other entries may be back
-//! before the seeds, and without this query they would have no target. An agent asks as soon as it
-//! starts, and again shortly after it has lost all links.
+//! before the seeds. Unless agents ask for them, those entries have no target. An agent asks as
+//! soon as it starts, and again shortly after it has lost all links.
 
 use std::time::Duration;
 
 use crate::ids::Now;
 
-/// Pause between the loss of the last link and the first query. Most links return sooner.
+/// Pause after the last link is lost, and first pause of the backoff between queries.
 const INITIAL_PAUSE: Duration = Duration::from_millis(200);
-/// Longest pause between two queries.
 const MAX_PAUSE: Duration = Duration::from_millis(1_500);
 
 /// Schedule of an agent's queries, with exponential backoff.
--- a/lib/src/entry_platform.rs
+++ b/lib/src/entry_platform.rs
@@ -1,4 +1,5 @@
-//! Reads the configuration log and the VM list, and keeps the head of the configuration in the log.
+//! Reads the configuration log and the VM list. Rewrites the configuration in force, the head, to
+//! the log before retention drops it.
 
 use std::time::Duration;
 
@@ -13,15 +14,13 @@
 use crate::target_table::Target;
 use crate::vm_list::{VmRecord, VmRole, VmState};
 
-/// Interval between reads of the log.
 const LOG_READ_EVERY: Duration = Duration::from_millis(400);
-/// Interval between reads of the VM list.
 const LIST_READ_EVERY: Duration = Duration::from_secs(1);
 /// Maximum backoff between reads while the platform does not answer.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// A read without an answer counts as lost after this time.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a gap of expired log records may wait for a peer or a snapshot to fill it.
+/// How long to wait for a peer or a snapshot to replace log records that expired unread.
 const GAP_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// State of a resource that is polled.
@@ -59,17 +58,20 @@
 /// The entry's view of the platform.
 #[derive(Debug, Default)]
 pub struct PlatformState {
+    /// The configuration log.
     log: Poll,
+    /// The VM list.
     list: Poll,
     /// Incarnations whose VM has been on the list.
     listed: std::collections::BTreeSet<Incarnation>,
-    /// Names of listed targets that the newest list lacks.
+    /// Names of targets that were on an earlier list but not on the newest.
     absent: Vec<std::sync::Arc<str>>,
     was_behind: bool,
 }
 
 impl EntryCore {
-    /// Starts the reads that are due, keeps the head in the log and ends absent incarnations.
+    /// Starts the reads that are due, keeps the head in the configuration log and ends absent
+    /// incarnations.
     pub(crate) fn tick_platform(&mut self) {
         if self.platform.log.is_due(self.now) {
             self.platform.log.asked_at = Some(self.now);
@@ -90,7 +92,7 @@
         self.rng.random_range(0.8..1.2)
     }
 
-    /// Handles the result of a read of the log.
+    /// Handles the result of a read of the configuration log; `None` if it failed.
     pub(crate) fn log_read(&mut self, batch: Option<LogBatch>) {
         let jitter = self.jitter();
         let succeeded = batch.is_some();
@@ -163,8 +165,8 @@
         }
     }
 
-    /// Writes the head to the log again before retention drops it, unless another entry has done
-    /// so.
+    /// Writes the head to the configuration log again before retention drops it, unless another
+    /// entry has done so.
     fn keep_head_in_log(&mut self) {
         let jitter = self.jitter();
         let every = self.options.snapshot_every.mul_f64(jitter);
@@ -270,7 +272,7 @@
         self.reply(request, Reply::Status(Box::new(status)));
     }
 
-    /// The status of this entry.
+    /// State of this entry and its targets, for operators.
     pub fn status(&self) -> EntryStatus {
         let mut targets: Vec<TargetStatus> =
             self.targets.iter().map(|(_, t)| target_status(t)).collect();
--- a/lib/src/http_answer.rs
+++ b/lib/src/http_answer.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// Builds the response that carries an answer. The response states its length, which lets a caller
+/// Builds the response that carries an answer. `json` sets its content length, which lets a caller
 /// detect a truncated answer.
 pub fn response_for(answer: &Answer, next_permit: Option<&str>) -> HttpResponse {
     let mut response = HttpResponse::build(status_of(answer));
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
-    /// Name of this VM's process, as on the VM list.
+    /// Name under which the VM list holds this VM.
     pub name: String,
     /// Data hall of the VM.
     pub hall: String,
@@ -61,7 +61,7 @@
     pub agent_listen: SocketAddr,
     /// Listen address for operators: status, explain, metrics.
     pub operator_listen: SocketAddr,
-    /// Agent addresses of other entries that are known at startup.
+    /// The `agent_listen` addresses of other entries, as far as known at startup.
     #[serde(default)]
     pub entries: Vec<SocketAddr>,
     /// Secret shared by all entries and agents of the fleet.
@@ -76,14 +76,14 @@
     /// Largest request body in bytes.
     #[serde(default = "default_body_limit")]
     pub body_limit: usize,
-    /// Longest drain, in milliseconds.
+    /// Longest time that a stopping entry waits for its jobs, in milliseconds.
     #[serde(default = "default_drain_ms")]
     pub drain_limit_ms: u64,
-    /// Lifetime of a permit, in milliseconds.
+    /// How long a permit (see [`crate::permit`]) is valid, in milliseconds.
     #[serde(default = "default_permit_ms")]
     pub permit_life_ms: u64,
-    /// Interval at which the configuration is written to the log again, in milliseconds. At most
-    /// half of the log's retention.
+    /// Interval at which the configuration is written to the log again, in milliseconds. Should be
+    /// at most half of the log's retention, which isn't checked.
     #[serde(default = "default_snapshot_ms")]
     pub snapshot_every_ms: u64,
     /// Base address of an OTLP/HTTP collector for spans.
@@ -112,7 +112,7 @@
 }
 
 impl EntrySettings {
-    /// Returns the longest drain.
+    /// Returns `drain_limit_ms` as a duration.
     pub fn drain_limit(&self) -> Duration {
         Duration::from_millis(self.drain_limit_ms)
     }
@@ -122,7 +122,7 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// Name of this VM's process, as on the VM list.
+    /// Name under which the VM list holds this VM.
     pub name: String,
     /// Data hall of the VM.
     pub hall: String,
@@ -135,13 +135,13 @@
     /// Accelerators of the target.
     #[serde(default)]
     pub accelerators: u32,
-    /// Agent addresses of some entries. The agent learns the others from these.
+    /// The `agent_listen` addresses of some entries. The agent learns the others from these.
     pub entries: Vec<SocketAddr>,
     /// Secret shared by all entries and agents of the fleet.
     pub fleet_secret: String,
     /// Listen address for operators: metrics.
     pub operator_listen: SocketAddr,
-    /// Longest drain, in milliseconds.
+    /// Longest time that a stopping agent waits for its runs, in milliseconds.
     #[serde(default = "default_drain_ms")]
     pub drain_limit_ms: u64,
     /// Base address of an OTLP/HTTP collector for spans.
@@ -149,9 +149,7 @@
     pub otlp_url: Option<String>,
 }
 
-/// Minimum length of the fleet secret, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
-/// Maximum slots of a target.
 const MAX_SLOTS: u32 = 4_096;
 
 fn check_secret(origin: &str, secret: &str) -> Result<(), SettingsError> {
--- a/lib/src/timings.rs
+++ b/lib/src/timings.rs
@@ -1,7 +1,7 @@
-//! All lease lengths and timeouts, derived from the platform's bounds.
+//! Leases and timeouts that follow from the platform's bounds.
 //!
-//! A task may be restarted elsewhere only after its last run must have ended. The inequalities that
-//! guarantee this are all here, where they are tested; docs/design/platform.md explains them.
+//! A task may be restarted elsewhere only after its last run must have ended.
+//! docs/design/platform.md explains the conditions for this; lib/tests/test_timings.rs tests them.
 
 use std::time::Duration;
 
@@ -11,22 +11,22 @@
 const CLOCK_SLOWDOWN: f64 = 1.02;
 /// Longest lease of an entry on its runs. Must survive a lost heartbeat.
 const MAX_ENTRY_LEASE: Duration = Duration::from_millis(800);
-/// Heartbeats of an agent in one lease of an entry, with slack for the network.
+/// Ratio of an entry's lease to the heartbeat interval; leaves slack for the network.
 const HEARTBEATS_PER_LEASE: f64 = 3.2;
 /// Longest time that an entry has to reconnect after its link was closed.
 const MAX_RECONNECT_GRACE: Duration = Duration::from_millis(250);
-/// Shortest time within which a stop must succeed; covers several attempts.
+/// Lower limit of [`Timings::stop_bound`].
 const MIN_STOP_BOUND: Duration = Duration::from_millis(200);
-/// Multiple of the platform's stop time within which a stop, with retries, must succeed.
+/// Ratio of [`Timings::stop_bound`] to the platform's stop time.
 const STOPS_PER_BOUND: u32 = 10;
 /// Allowance for scheduling delays on a busy VM, added to the time that a lease takes to lapse.
 const LAPSE_SLACK: Duration = Duration::from_millis(70);
 /// Allowance for rounding and scheduling delays in [`Timings::lost_proof`].
 const PROOF_SLACK: Duration = Duration::from_millis(160);
-/// Longest tolerated suspension of a VM with its target and agent. Until it ends it looks like a
-/// loss of power, but the target's leases do not lapse.
+/// Longest tolerated suspension of a VM with its target and agent. Until it ends, an entry can't
+/// tell it from a power failure. The target's leases don't lapse, because its clock stops too.
 const MAX_SUSPENSION: Duration = Duration::from_secs(10);
-/// Longest time that a run without an owner waits for one: covers a few dials.
+/// Upper limit of [`Timings::claim_grace`].
 const MAX_CLAIM_GRACE: Duration = Duration::from_millis(200);
 /// Longest time that a stopping entry serves all requests, until the load balancer has removed it.
 const MAX_SERVE_ON: Duration = Duration::from_millis(3_200);
@@ -59,7 +59,8 @@
 /// A bound with which the timings can't be safe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum TimingsError {
-    /// Leases would lapse between two renewals.
+    /// The longest lease is out of range. With a shorter one, leases would lapse between two
+    /// renewals.
     #[snafu(display("the longest lease is {is:?}, expected 200 ms to 1 h"))]
     LongestLease {
         /// The configured value.
@@ -71,13 +72,15 @@
         /// The configured value.
         is: Duration,
     },
-    /// There would be no time to finish open requests.
+    /// The shutdown grace is out of range. With a shorter one, there would be no time to finish
+    /// open requests.
     #[snafu(display("the shutdown grace is {is:?}, expected 1 s to 1 h"))]
     ShutdownGrace {
         /// The configured value.
         is: Duration,
     },
-    /// Callers would retry before the runs of an entry that died are stopped.
+    /// The callers' retry interval is out of range. With a shorter one, callers would retry before
+    /// the runs of an entry that died are stopped.
     #[snafu(display(
         "callers return after {is:?}, expected 500 ms to 1 h and at least ten times the stop time"
     ))]
@@ -100,31 +103,33 @@
     pub start_window: Duration,
     /// Time that an entry has to reconnect before its runs are stopped (agent).
     pub reconnect_grace: Duration,
-    /// How long an adopted run waits for an entry to claim it (agent).
+    /// How long an adopted run waits for an entry to claim it (agent). A restarted agent adopts the
+    /// runs that its target lists; until they are claimed, no entry owns them.
     pub claim_grace: Duration,
-    /// Interval at which a stop is resent until the run's end is listed (agent).
+    /// Interval at which a stop is resent until the target lists the run as ended (agent).
     pub stop_again: Duration,
-    /// Time within which an orphaned run must end, or the whole lease of the target is left to
-    /// lapse (agent).
+    /// Time within which an orphaned run must end. After it, the agent stops renewing the target's
+    /// lease (agent). A run is orphaned if its owner's lease has lapsed or no entry has claimed it.
     pub stop_bound: Duration,
-    /// Length of the requested lease: the longest one, unless callers retry before that one lapses
-    /// (target).
+    /// Length of the requested lease: at most the longest one, and short enough to lapse before
+    /// callers retry (target).
     pub target_lease: Duration,
     /// Time from a renewal until the runs that it covers must have ended, even if the target's
     /// clock is slow (agent).
     pub lapse: Duration,
-    /// Longest wait of a renewal at the target; leaves time to repeat a lost renewal (agent).
+    /// How long the target may wait before it answers a renewal; leaves time to repeat a lost one
+    /// (agent).
     pub renewal_wait: Duration,
     /// Time from the last packet to a lost agent until its runs must have ended, even if its VM was
     /// suspended (entry).
     pub lost_proof: Duration,
-    /// How long a stopping entry serves all requests (entry).
+    /// How long a stopping entry still accepts all new requests (entry).
     pub serve_on: Duration,
     /// Longest time that a stopping entry takes to exit (entry).
     pub entry_stop: Duration,
     /// Longest time that a stopping agent takes to exit (agent).
     pub agent_stop: Duration,
-    /// How long after a broken connection a caller retries.
+    /// How long after a broken connection a caller retries (caller).
     pub caller_return: Duration,
 }
 
@@ -138,8 +143,8 @@
             shutdown_grace,
             caller_return,
         } = bounds;
-        // When callers of an entry that died retry, their runs are stopped, even if a stop needs
-        // two attempts.
+        // If an entry dies, its runs are stopped before its callers retry, even if a stop needs two
+        // attempts.
         let entry_lease = MAX_ENTRY_LEASE.min(caller_return.mul_f64(0.62));
         let heartbeat = entry_lease.div_f64(HEARTBEATS_PER_LEASE);
         let reconnect_grace = MAX_RECONNECT_GRACE.min(caller_return / 5);
@@ -168,7 +173,7 @@
         })
     }
 
-    /// Longest silence of an entry before it answers an agent's packet.
+    /// An entry answers an agent's packet if it has sent that agent nothing for this long.
     pub fn answer_after(&self) -> Duration {
         self.heartbeat.mul_f64(0.6)
     }
--- a/lib/testutils/src/run_fleet/links.rs
+++ b/lib/testutils/src/run_fleet/links.rs
@@ -14,7 +14,6 @@
 
 /// Default one-way latency between two processes.
 pub(super) const DELAY: Duration = Duration::from_micros(500);
-/// Interval between dials.
 const DIAL_EVERY: Duration = Duration::from_millis(60);
 
 #[derive(Debug, Clone, Copy)]
@@ -83,6 +82,7 @@
         dialled.is_some_and(|d| d.contains(&address))
     }
 
+    /// Tells an entry about a new link, and its address only if the entry itself dialled.
     pub(super) fn entry_linked(&mut self, entry: usize, id: SessionId, dialled: bool) {
         let link = self.links.links.get(&id).filter(|_| dialled);
         let address = link.map(|l| Self::address(l.entry));
@@ -97,7 +97,7 @@
     }
 
     pub(super) fn dial(&mut self, dialler: Node, address: SocketAddr) {
-        // Stops once the process has ended: its next incarnation dials for itself.
+        // Dialling ends with the process; its next incarnation starts its own.
         if !self.is_alive(dialler) || !self.is_dialled(dialler, address) {
             return;
         }
@@ -142,7 +142,7 @@
         let to = link.other(from);
         self.packets += 1;
         count_orders(&packet, &mut self.orders, &mut self.full);
-        // TCP delivers packets in order once a partition ends.
+        // TCP delivers packets in order once a partition ends, here at `connected_at`.
         let connected_at = self.cut_until(from).max(self.cut_until(to));
         let transmitted_at = self.traffic.packet(self.now, from, to, &packet);
         let at = connected_at.max(transmitted_at) + self.fleet_config.one_way;
--- a/lib/testutils/src/run_target.rs
+++ b/lib/testutils/src/run_target.rs
@@ -1,7 +1,8 @@
-//! An in-memory model of a platform target: leases, fencing, run numbers and lists of runs.
+//! An in-memory model of a platform target: leases, fencing tokens, run numbers and lists of runs.
+//! An order with a lower fencing token than one seen before has no effect.
 //!
 //! Like the platform's targets it doesn't enforce its capacity; it records every run for the
-//! checks. Callers pass the time, so the simulated fleet and the HTTP stand-in share it.
+//! tests' checks. Callers pass the time, so the simulated fleet and the HTTP stand-in share it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,7 +23,7 @@
 const STOP_TIME: Duration = Duration::from_millis(30);
 /// Wall-clock time at the start, in milliseconds since the epoch.
 const WALL_CLOCK_START: BornMillis = 1_785_000_000_000;
-/// Service of all simulated targets.
+/// Name of the service of all simulated targets, the same as in the stand-in's list.
 pub const SERVICE: &str = "banca";
 
 /// Impairments of a target.
@@ -49,7 +50,7 @@
     }
 }
 
-/// Word in a payload after the work time: the batch's first task crashes its target.
+/// Word in a payload, after the work time, that makes task 0 of each step crash its target.
 pub const CRASHES: &str = "crashes";
 /// Time from the start of such a task to the crash.
 const CRASH_AFTER: Duration = Duration::from_millis(10);
@@ -73,7 +74,8 @@
     pub after_leave: Option<Duration>,
     /// Whether it crashes its target.
     pub crashes: bool,
-    /// Capacity at its start, by the reports that the agent had received.
+    /// Largest capacity that its start may have relied on, by the reports that the agent had
+    /// received.
     pub room: Resources,
     /// Suspensions of the target's VM during the run: start and end.
     pub suspensions: Vec<(Now, Now)>,
@@ -93,7 +95,8 @@
 pub struct StartRequest {
     /// The run.
     pub key: RunKey,
-    /// Work time in milliseconds as decimal text; further words may follow.
+    /// Work time in milliseconds as decimal text, 50 ms if it isn't a number; further words may
+    /// follow.
     pub payload: Arc<str>,
     /// End of the lease.
     pub until: TargetMillis,
@@ -119,7 +122,7 @@
     reported_capacities: Vec<(Now, Resources)>,
     /// Sequence number of the last of these reports.
     reported_sequence: u64,
-    /// How long a start may still rely on the capacity reported before.
+    /// How long after a new report a start may still rely on the previous one.
     capacity_grace: Duration,
     /// Suspended time of its VM in this incarnation, which its clock does not count.
     suspended: Duration,
@@ -272,7 +275,8 @@
         self.names_used += 1;
     }
 
-    /// Ends its incarnation and begins another with the same name and without any earlier state.
+    /// Ends its incarnation and begins another with the same name. Its capacity, impairments and
+    /// records stay; its other state is lost.
     pub fn restart(&mut self, now: Now) {
         self.advance(now);
         for (_, run) in std::mem::take(&mut self.running) {
@@ -317,12 +321,12 @@
         }
     }
 
-    /// Whether a running task has crashed it by now.
+    /// Whether the time of a planned crash has come.
     pub fn has_crashed(&self, now: Now) -> bool {
         self.crash_at.is_some_and(|at| at <= now)
     }
 
-    /// Time of its next change without a call: the end of a run, a lapse or a crash.
+    /// Time of its next change that no call causes: the end of a run, a lapse or a crash.
     pub fn next_change(&self) -> Option<Now> {
         let runs = self.running.values();
         let ends = runs.filter_map(|r| match (r.ends_at, r.stops_at) {
@@ -333,7 +337,7 @@
         ends.chain(lapse).chain(self.crash_at).min()
     }
 
-    /// Advances to `now`: ends runs that are due and lapses the lease.
+    /// Advances to `now`: ends runs that are due and lapses the lease. Stops at a crash.
     pub fn advance(&mut self, now: Now) {
         while let Some(at) = self.next_change().filter(|at| *at <= now) {
             if self.crash_at == Some(at) {
--- a/lib/testutils/src/summary.rs
+++ b/lib/testutils/src/summary.rs
@@ -26,7 +26,7 @@
     pub nothing: usize,
     /// Jobs whose caller disconnected first.
     pub gave_up: usize,
-    /// Jobs answered with missing or foreign results.
+    /// Jobs answered with results missing or with results of other jobs.
     pub wrong: usize,
     /// Tasks started.
     pub started: usize,
@@ -52,7 +52,7 @@
 }
 
 impl Lag {
-    /// The distribution over the complete jobs among `records`.
+    /// Percentiles over the complete jobs among `records`.
     pub fn of<'a>(records: impl Iterator<Item = &'a JobRecord>, slots: u32) -> Self {
         let mut histogram =
             Histogram::<u64>::new_with_bounds(1, MAX_RATIO, 3).expect("the bounds are in order");
--- a/lib/testutils/src/virtual_fleet/links.rs
+++ b/lib/testutils/src/virtual_fleet/links.rs
@@ -61,7 +61,7 @@
     }
 
     /// Arrival times of a frame: none if it is lost, two if it is duplicated. Frames arrive in
-    /// order unless a fault delays or reorders them.
+    /// order unless a fault delays, reorders or duplicates them.
     pub(super) fn arrivals(&mut self, key: LinkKey, to_agent: bool) -> Vec<Duration> {
         let now = self.now;
         let link = self.links.entry(key).or_default();
@@ -118,6 +118,7 @@
         }
         let is_dispatch = |m: &EntryMessage| matches!(m, EntryMessage::Dispatch(_));
         if frame.messages.iter().any(is_dispatch) {
+            // The frame was sent; it may still be lost.
             self.reach_step(Step::Received, site);
         }
     }
