--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -60,7 +60,6 @@
     NoAnswer {
         /// URL of the request.
         url: String,
-        /// Cause.
         cause: String,
     },
     /// A change was not applied.
--- a/lib/src/active_batch.rs
+++ b/lib/src/active_batch.rs
@@ -11,7 +11,6 @@
 use crate::queue::Queue;
 use crate::run::{BatchId, RunKey, RunNumber, TaskKey};
 
-/// State of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TaskState {
     /// The task waits to be placed.
@@ -77,7 +76,6 @@
     }
 }
 
-/// State of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchState {
     /// The batch is being run.
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -32,7 +32,6 @@
     pub config_current: bool,
     /// Whether the entry is draining.
     pub draining: bool,
-    /// The targets.
     pub targets: &'a TargetTable,
     /// Quota use of the teams.
     pub quotas: &'a Quotas,
--- a/lib/src/agent.rs
+++ b/lib/src/agent.rs
@@ -47,16 +47,13 @@
     EntryConnected(SessionId),
     /// A frame from an entry has arrived.
     EntryFrame {
-        /// The session.
         session: SessionId,
-        /// The frame.
         frame: Frame<EntryMessage>,
     },
     /// An entry's session has closed.
     EntryClosed(SessionId),
     /// A run has ended on the target.
     RunEnded {
-        /// The run.
         run: RunId,
         /// How it ended.
         end: RunEnd,
@@ -81,9 +78,7 @@
     KnowEntry(String),
     /// Send a frame to an entry.
     SendEntry {
-        /// The session.
         session: SessionId,
-        /// The frame.
         frame: Frame<AgentMessage>,
     },
     /// Close an entry's session; no [`AgentEvent::EntryClosed`] is expected for it.
@@ -92,7 +87,6 @@
     Start(Start),
     /// Renew the leases of these runs.
     Renew(Renewal),
-    /// Stop a run.
     StopRun(RunId),
     /// Write a line to the log.
     Log(LogEvent),
@@ -120,7 +114,6 @@
 /// Leases to renew.
 #[derive(Debug, Clone)]
 pub struct Renewal {
-    /// The runs.
     pub runs: Vec<RunId>,
     /// Length of the lease from now.
     pub lease: Duration,
--- a/lib/src/apply.rs
+++ b/lib/src/apply.rs
@@ -29,15 +29,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ApplyOutcome {
     /// The change is in force.
-    InForce {
-        /// Its version.
-        version: u64,
-    },
+    InForce { version: u64 },
     /// The same document is in force already; nothing was written.
-    Unchanged {
-        /// Its version.
-        version: u64,
-    },
+    Unchanged { version: u64 },
     /// Another change was appended first. This one has no effect and never will.
     LostRace {
         /// The version in force when the change reached the log.
@@ -45,15 +39,9 @@
     },
     /// The change was not sent, because the log could not be read or no longer holds the
     /// configuration in force.
-    NotWritten {
-        /// Cause.
-        cause: String,
-    },
+    NotWritten { cause: String },
     /// The change was sent but did not appear in the log in time. It may still take effect.
-    Unknown {
-        /// Cause.
-        cause: String,
-    },
+    Unknown { cause: String },
 }
 
 /// Reads the log to its end and returns the configuration in force. Returns None if the log no
--- a/lib/src/batch_event.rs
+++ b/lib/src/batch_event.rs
@@ -89,7 +89,6 @@
     Entries(Vec<SocketAddr>),
     /// A link is up; with its address if this side dialled.
     LinkUp(SessionId, Option<SocketAddr>),
-    /// A link is down.
     LinkDown(SessionId),
     /// A packet was received.
     Packet(SessionId, Packet),
--- a/lib/src/config_chain.rs
+++ b/lib/src/config_chain.rs
@@ -91,7 +91,6 @@
     pub end: LogOffset,
 }
 
-/// Outcome of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeOutcome {
     /// The change became the head.
--- a/lib/src/entry.rs
+++ b/lib/src/entry.rs
@@ -62,7 +62,6 @@
     pub request: RequestId,
     /// SHA-256 of the caller's key, in hexadecimal.
     pub key_sha256: String,
-    /// The tasks.
     pub tasks: Arc<[TaskSpec]>,
     /// How long the caller waits, counted from arrival.
     pub deadline: Duration,
@@ -95,37 +94,28 @@
     Explain {
         /// The request to answer.
         request: RequestId,
-        /// The job.
         job: JobId,
     },
     /// An agent has connected and sent its hello.
     AgentOpened {
-        /// The session.
         session: SessionId,
-        /// Its hello.
         hello: AgentHello,
     },
     /// An agent has sent a frame.
     AgentFrame {
-        /// The session.
         session: SessionId,
-        /// The frame.
         frame: Frame<AgentMessage>,
     },
     /// An agent's session has closed.
     AgentClosed(SessionId),
     /// A session with a peer has opened, from either side, and the peer has sent its hello.
     PeerOpened {
-        /// The session.
         session: SessionId,
-        /// Its hello.
         hello: PeerHello,
     },
     /// A peer has sent a frame.
     PeerFrame {
-        /// The session.
         session: SessionId,
-        /// The frame.
         frame: Frame<PeerMessage>,
     },
     /// A peer's session has closed.
@@ -145,7 +135,6 @@
     pub request: RequestId,
     /// SHA-256 of the caller's key.
     pub key_sha256: String,
-    /// The job.
     pub job: JobId,
 }
 
@@ -165,7 +154,6 @@
 pub enum Reply {
     /// The answer to a submission, with a new permit if the submission used one.
     Answer {
-        /// The answer.
         answer: Answer,
         /// A permit for the next request.
         next_permit: Option<String>,
@@ -202,23 +190,18 @@
     Reply {
         /// The request to answer.
         request: RequestId,
-        /// The reply.
         reply: Reply,
     },
     /// Send a frame to an agent.
     SendAgent {
-        /// The session.
         session: SessionId,
-        /// The frame.
         frame: Frame<EntryMessage>,
     },
     /// Close an agent's session; no [`EntryEvent::AgentClosed`] is expected for it.
     CloseAgent(SessionId),
     /// Send a frame to a peer.
     SendPeer {
-        /// The session.
         session: SessionId,
-        /// The frame.
         frame: Frame<PeerMessage>,
     },
     /// Close a peer's session; no [`EntryEvent::PeerClosed`] is expected for it.
--- a/lib/src/entry_daemon.rs
+++ b/lib/src/entry_daemon.rs
@@ -61,11 +61,9 @@
 
 /// A running entry.
 pub struct EntryDaemon {
-    /// Address for callers.
     pub caller_address: SocketAddr,
     /// Address for agents and peers.
     pub agent_address: SocketAddr,
-    /// Address for operators.
     pub operator_address: SocketAddr,
     /// Incarnation of this process.
     pub incarnation: Incarnation,
--- a/lib/src/entry_input.rs
+++ b/lib/src/entry_input.rs
@@ -10,7 +10,6 @@
 /// An event for the core, with the request that waits for its reply.
 #[derive(Debug)]
 pub struct CoreRequest {
-    /// The event.
     pub event: EntryEvent,
     /// The request that waits for a reply, if any.
     pub reply: Option<PendingReply>,
--- a/lib/src/entry_leases.rs
+++ b/lib/src/entry_leases.rs
@@ -18,7 +18,6 @@
 /// links, up to the heartbeat interval.
 const LOAD_INTERVAL_PER_LINK: Duration = Duration::from_millis(12);
 
-/// A link to an entry.
 #[derive(Debug, Default)]
 pub struct EntryLink {
     /// The entry's incarnation, once known.
@@ -55,7 +54,6 @@
     }
 }
 
-/// A packet that is due.
 #[derive(Debug)]
 pub struct DuePacket {
     /// Link to send it on.
--- a/lib/src/entry_permits.rs
+++ b/lib/src/entry_permits.rs
@@ -179,8 +179,6 @@
 /// A claim that was sent to a registrar.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimTicket {
-    /// The registrar.
     pub registrar: Incarnation,
-    /// The claim.
     pub claim: Claim,
 }
--- a/lib/src/http_api.rs
+++ b/lib/src/http_api.rs
@@ -359,7 +359,6 @@
 #[derive(Debug, Clone, Copy)]
 pub struct BodyLimit(pub usize);
 
-/// Routes for callers.
 pub fn caller_routes(cfg: &mut web::ServiceConfig) {
     cfg.service((
         web::resource("/v1/jobs").route(web::post().to(submit)),
--- a/lib/src/job.rs
+++ b/lib/src/job.rs
@@ -61,14 +61,12 @@
 pub enum Answer {
     /// All tasks succeeded.
     Complete {
-        /// The job.
         job: JobIdText,
         /// One result per task, in the order of the tasks.
         results: Vec<Arc<str>>,
     },
     /// The job was admitted and failed.
     Failed {
-        /// The job.
         job: JobIdText,
         /// Why the job failed.
         reason: Failure,
@@ -148,7 +146,6 @@
 /// Why a request was refused and when to retry it. No task of the request ran.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// The reason.
     #[serde(flatten)]
     pub reason: RefusalReason,
     /// Time until a retry is worthwhile, in milliseconds.
--- a/lib/src/job_table.rs
+++ b/lib/src/job_table.rs
@@ -91,7 +91,6 @@
 /// The task to dispatch next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NextTask {
-    /// Its job.
     pub job: JobSeq,
     /// What it needs.
     pub need: TaskNeed,
@@ -223,7 +222,6 @@
         expired.map(|key| key.job).collect()
     }
 
-    /// The next deadline.
     pub fn next_deadline(&self) -> Option<Now> {
         self.deadlines.first().map(|key| key.deadline)
     }
--- a/lib/src/log_summary.rs
+++ b/lib/src/log_summary.rs
@@ -31,7 +31,6 @@
 /// Number of batches of one queue, by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct QueueSummary {
-    /// Admitted.
     pub admitted: u64,
     /// Succeeded within the objective.
     pub in_time: u64,
--- a/lib/src/message.rs
+++ b/lib/src/message.rs
@@ -157,7 +157,6 @@
     /// Reports the answer to a claimed request.
     #[serde(rename = "O")]
     Settle {
-        /// The claim.
         claim: Claim,
         /// The answer given.
         answer: StoredAnswer,
@@ -170,7 +169,6 @@
 /// A claim on a permit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The permit.
     #[serde(rename = "p")]
     pub permit: PermitId,
     /// Expiry on the registrar's clock, in milliseconds.
@@ -291,12 +289,7 @@
     },
     /// Answers a claim.
     #[serde(rename = "P")]
-    Claimed {
-        /// The claim.
-        claim: Claim,
-        /// The answer.
-        answer: ClaimAnswer,
-    },
+    Claimed { claim: Claim, answer: ClaimAnswer },
     /// The target is leaving and takes no new work.
     #[serde(rename = "V")]
     Leaving,
@@ -328,7 +321,6 @@
 /// A team's use of one entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamDemand {
-    /// The team.
     #[serde(rename = "t")]
     pub team: TeamName,
     /// Tasks in flight plus tasks recently refused for quota.
@@ -371,7 +363,6 @@
     /// Cancels a job that the receiver holds for this team.
     #[serde(rename = "K")]
     CancelJob {
-        /// The job.
         job: JobId,
         /// Team that cancels the job.
         team: TeamName,
--- a/lib/src/outbox.rs
+++ b/lib/src/outbox.rs
@@ -73,7 +73,6 @@
     pub received: u64,
 }
 
-/// A frame for a session.
 pub type SessionFrame<M> = (SessionId, Frame<M>);
 
 impl<M, S> Outboxes<M, S> {
--- a/lib/src/placement.rs
+++ b/lib/src/placement.rs
@@ -122,7 +122,6 @@
 pub struct Signal {
     /// The agent.
     pub target: Incarnation,
-    /// The message.
     pub message: EntryMessage,
 }
 
--- a/lib/src/platform.rs
+++ b/lib/src/platform.rs
@@ -16,7 +16,6 @@
     NoAnswer {
         /// Name of the service.
         service: &'static str,
-        /// Cause.
         cause: String,
     },
     /// The response could not be parsed.
--- a/lib/src/queue.rs
+++ b/lib/src/queue.rs
@@ -31,7 +31,6 @@
     pub needs_advice: bool,
 }
 
-/// Limits on requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestLimits {
     /// Largest body in bytes.
--- a/lib/src/run.rs
+++ b/lib/src/run.rs
@@ -15,7 +15,6 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "(u64, u32, u16, u16)", from = "(u64, u32, u16, u16)")]
 pub struct TaskKey {
-    /// The batch.
     pub batch: BatchId,
     /// Repetition of the batch, from 0.
     pub time: u32,
@@ -92,7 +91,6 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "(TaskKey, RunNumber)", from = "(TaskKey, RunNumber)")]
 pub struct RunKey {
-    /// The task.
     pub task: TaskKey,
     /// Number of the run.
     pub run: RunNumber,
--- a/lib/src/run_event.rs
+++ b/lib/src/run_event.rs
@@ -93,7 +93,6 @@
     OtherIncarnation,
     /// The connection was refused: no process listens.
     Refused,
-    /// No answer.
     NoAnswer,
 }
 
@@ -107,7 +106,6 @@
     /// An incarnation of that name answered without its start time, because it has seen a higher
     /// fencing token.
     Fenced,
-    /// No answer.
     NoAnswer,
 }
 
@@ -129,7 +127,6 @@
     Wake,
     /// A link to the entry at this address is up.
     LinkUp(SessionId, SocketAddr),
-    /// A link is down.
     LinkDown(SessionId),
     /// A packet from an entry.
     Packet(SessionId, EntryPacket),
@@ -143,21 +140,18 @@
         key: RunKey,
         /// Fencing token of the start.
         token: FencingToken,
-        /// The answer.
         answer: StartAnswer,
     },
     /// Answer to [`AgentAction::Renew`].
     RenewalAnswered {
         /// Number of the renewal.
         number: u64,
-        /// The answer.
         answer: RenewalAnswer,
     },
     /// Answer to [`AgentAction::CheckIncarnation`].
     IncarnationChecked {
         /// Number of the query.
         number: u64,
-        /// The answer.
         answer: IncarnationAnswer,
     },
     /// Addresses of entries from the settings or the store.
@@ -211,7 +205,6 @@
     },
     /// Renew the lease and read the lists.
     Renew {
-        /// The renewal.
         renewal: Renewal,
         /// Name of the target that is addressed.
         target_name: Option<TargetName>,
@@ -233,7 +226,6 @@
     Exit,
 }
 
-/// Gauges of an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AgentGauges {
     /// Runs in the run table.
--- a/lib/src/run_message.rs
+++ b/lib/src/run_message.rs
@@ -30,7 +30,6 @@
     /// From an entry to an agent.
     #[serde(rename = "E")]
     FromEntry(EntryPacket),
-    /// Between entries.
     #[serde(rename = "P")]
     BetweenEntries(PeerPacket),
 }
--- a/lib/src/session_links.rs
+++ b/lib/src/session_links.rs
@@ -92,11 +92,9 @@
 /// Counters of bytes and frames, for the metrics.
 #[derive(Debug, Default)]
 pub struct LinkTraffic {
-    /// Frames sent.
     pub frames_sent: AtomicU64,
     /// Bytes sent, without WebSocket framing.
     pub bytes_sent: AtomicU64,
-    /// Frames received.
     pub frames_received: AtomicU64,
     /// Bytes received, without WebSocket framing.
     pub bytes_received: AtomicU64,
--- a/lib/src/settings.rs
+++ b/lib/src/settings.rs
@@ -32,7 +32,6 @@
     Value {
         /// The file.
         origin: String,
-        /// The key.
         key: &'static str,
         /// The rejected value, or a description of it.
         found: String,
@@ -47,7 +46,6 @@
     fn check(&self, origin: &str) -> Result<(), SettingsError>;
 }
 
-/// Settings of an entry.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EntrySettings {
@@ -118,7 +116,6 @@
     }
 }
 
-/// Settings of an agent.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
--- a/lib/src/status.rs
+++ b/lib/src/status.rs
@@ -56,7 +56,6 @@
     pub slowness: f64,
 }
 
-/// The states of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetState {
--- a/lib/testutils/src/bin/measure-cost.rs
+++ b/lib/testutils/src/bin/measure-cost.rs
@@ -27,7 +27,6 @@
 const TEAMS: usize = 54;
 /// Slots of each target.
 const SLOTS: u32 = 8;
-/// Tasks per job.
 const TASKS_PER_JOB: usize = 40;
 /// Bytes of WebSocket, TCP and IP headers of a frame in its own packet.
 const HEADER_BYTES: usize = 46;
--- a/lib/testutils/src/embedded.rs
+++ b/lib/testutils/src/embedded.rs
@@ -56,11 +56,9 @@
     pub name: String,
     /// API key.
     pub key: String,
-    /// Quota.
     pub quota: u32,
 }
 
-/// An entry of a fleet.
 pub struct FleetEntry {
     /// Name on the VM list.
     pub name: String,
@@ -82,9 +80,7 @@
 
 /// A running fleet.
 pub struct Fleet {
-    /// Entries.
     pub entries: Vec<FleetEntry>,
-    /// Targets.
     pub targets: Vec<FleetTarget>,
     /// The stand-in log.
     pub log: MemoryLog,
--- a/lib/testutils/src/faults.rs
+++ b/lib/testutils/src/faults.rs
@@ -137,11 +137,9 @@
 /// A fault and the step at which it is injected.
 #[derive(Debug, Clone, Copy)]
 pub struct PlannedFault {
-    /// The step.
     pub step: Step,
     /// Earliest time of the injection.
     pub not_before: Duration,
-    /// The fault.
     pub fault: Fault,
     /// Whether it has been injected.
     pub injected: bool,
--- a/lib/testutils/src/load.rs
+++ b/lib/testutils/src/load.rs
@@ -23,7 +23,6 @@
 /// A load on a fleet.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// Its shape.
     pub shape: Shape,
     /// Average number of slots that it keeps busy.
     pub slots: f64,
@@ -31,11 +30,9 @@
     pub length: Duration,
     /// Keys of the submitting teams; each job uses a random one.
     pub keys: Vec<String>,
-    /// Seed.
     pub seed: u64,
 }
 
-/// A kind of job.
 struct JobKind {
     kind: &'static str,
     tasks: std::ops::RangeInclusive<usize>,
--- a/lib/testutils/src/load_replay.rs
+++ b/lib/testutils/src/load_replay.rs
@@ -28,7 +28,6 @@
 /// Time from the end of the load to the end of a replay.
 const SETTLE_TIME: Duration = Duration::from_millis(5_000);
 
-/// A kind of batch.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BatchKind {
@@ -84,7 +83,6 @@
     Join,
 }
 
-/// A fault in a pattern.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PatternFault {
@@ -109,7 +107,6 @@
     ByGroup,
 }
 
-/// A load pattern.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LoadPattern {
@@ -130,7 +127,6 @@
     pub spread: CallerSpread,
     /// Kinds of batches.
     pub kinds: Vec<BatchKind>,
-    /// Bursts.
     #[serde(default)]
     pub bursts: Vec<Burst>,
     /// Faults.
@@ -147,7 +143,6 @@
     pub in_time: u32,
     /// Succeeded after the objective.
     pub late: u32,
-    /// Refused.
     pub refused: u32,
     /// Total time that refused batches had waited.
     pub wait_until_refused: Duration,
@@ -182,7 +177,6 @@
     }
 }
 
-/// Results of a replay.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReplayResults {
     /// Results by kind, in the order of the pattern.
--- a/lib/testutils/src/matrix.rs
+++ b/lib/testutils/src/matrix.rs
@@ -54,12 +54,9 @@
     }
 }
 
-/// A fault at a step.
 #[derive(Debug, Clone, Copy)]
 pub struct FaultAtStep {
-    /// The step.
     pub step: Step,
-    /// The fault.
     pub fault: Fault,
 }
 
--- a/lib/testutils/src/platform_stand_ins.rs
+++ b/lib/testutils/src/platform_stand_ins.rs
@@ -364,9 +364,7 @@
 
 /// Service that a stand-in provides.
 pub enum StandIn {
-    /// The store.
     Store(StoreStandIn),
-    /// A target.
     Target(TargetStandIn),
 }
 
--- a/lib/testutils/src/process_fleet.rs
+++ b/lib/testutils/src/process_fleet.rs
@@ -59,9 +59,7 @@
 /// Program that a process runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// An entry.
     Entry,
-    /// An agent.
     Agent,
 }
 
--- a/lib/testutils/src/run_fleet/fleet_config.rs
+++ b/lib/testutils/src/run_fleet/fleet_config.rs
@@ -10,9 +10,7 @@
 /// A process of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Node {
-    /// An entry.
     Entry(usize),
-    /// An agent.
     Agent(usize),
 }
 
--- a/lib/testutils/src/run_target.rs
+++ b/lib/testutils/src/run_target.rs
@@ -26,7 +26,6 @@
 /// Name of the service of all simulated targets, the same as in the stand-in's list.
 pub const SERVICE: &str = "banca";
 
-/// Impairments of a target.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TargetImpairment {
     /// It answers no calls, but keeps running tasks.
@@ -116,7 +115,6 @@
     names_used: u32,
     /// Start of its current incarnation, which it reports.
     born: Now,
-    /// Its capacity.
     pub capacity: Resources,
     /// Capacities that its agent received in reports, and when.
     reported_capacities: Vec<(Now, Resources)>,
--- a/lib/testutils/src/scenario.rs
+++ b/lib/testutils/src/scenario.rs
@@ -46,13 +46,11 @@
     LeavingTarget,
     /// Half of the callers disconnect shortly after submission.
     CancellationWave,
-    /// An entry dies.
     EntryDies,
     /// A target dies with its agent.
     TargetDies,
 }
 
-/// A scenario.
 #[derive(Debug, Clone, Copy)]
 pub struct Scenario {
     /// Its name on the command line.
@@ -61,7 +59,6 @@
     pub load: f64,
     /// Shape of the load.
     pub shape: Shape,
-    /// The fault.
     pub fault: ScenarioFault,
     /// Quota of each team.
     pub quota: u32,
--- a/lib/testutils/src/stand_ins.rs
+++ b/lib/testutils/src/stand_ins.rs
@@ -26,9 +26,7 @@
 pub enum Service {
     /// The configuration log.
     Log(MemoryLog),
-    /// The VM list.
     VmList(MemoryVmList),
-    /// A target.
     Target(MemoryTarget),
     /// An OTLP trace collector.
     Collector(Collector),
@@ -65,7 +63,6 @@
 
 /// A service and its listen address.
 pub struct Placed {
-    /// The service.
     pub service: Service,
     /// Listen address.
     pub listen: SocketAddr,
--- a/lib/testutils/src/virtual_fleet.rs
+++ b/lib/testutils/src/virtual_fleet.rs
@@ -50,7 +50,6 @@
 const LEAVING_GRACE: Duration = Duration::from_secs(3);
 /// Interval at which entries write a snapshot of the configuration to the log.
 const SNAPSHOT_EVERY: Duration = Duration::from_secs(1);
-/// Retention of the log.
 const LOG_RETENTION: Duration = Duration::from_millis(2_500);
 /// Delay until a stopped target leaves the VM list.
 const LIST_LAG: Duration = Duration::from_secs(2);
@@ -94,9 +93,7 @@
 /// The processes that a fault affects.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FaultSite {
-    /// The entry.
     pub entry: usize,
-    /// The agent.
     pub agent: usize,
 }
 
@@ -159,7 +156,6 @@
     pub tasks: usize,
     /// Run time of each task.
     pub run: Duration,
-    /// Deadline.
     pub deadline: Duration,
     /// The entry that it is sent to.
     pub entry: usize,
@@ -178,7 +174,6 @@
 pub struct TimedAnswer {
     /// Time of arrival.
     pub at: Duration,
-    /// The answer.
     pub answer: Answer,
 }
 
@@ -418,7 +413,6 @@
         self.tell_entry(entry, EntryEvent::CallerGone(request));
     }
 
-    /// Drains an entry.
     pub fn drain_entry(&mut self, entry: usize) {
         self.reach_step(Step::DrainBegun, FaultSite { entry, agent: 0 });
         self.tell_entry(entry, EntryEvent::Drain);
